--- a/src/membership/cbor.cpp
+++ b/src/membership/cbor.cpp
@@ -8,7 +8,8 @@
 
 using Json = nlohmann::json;
 
-/// Accepts values up to a depth, and containers no longer than the input could hold.
+/// Rejects values that are nested too deeply, and containers that claim more elements than the
+/// input has bytes.
 class ShapeCheck final : public Json::json_sax_t {
  public:
   explicit ShapeCheck(std::size_t input_size) : input_size_(input_size) {}
--- a/src/membership/cbor.h
+++ b/src/membership/cbor.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reading CBOR that a stranger may have written.
+/// Parsing of CBOR from untrusted input.
 
 #include <cstddef>
 #include <nlohmann/json_fwd.hpp>
@@ -9,11 +9,11 @@
 
 namespace coursepond {
 
-/// Deeper nesting is refused before it can use up the stack.
+/// Maximum nesting depth. Deeper values are rejected so that they cannot exhaust the stack.
 inline constexpr std::size_t kMaximumCborDepth = 12;
 
-/// The value that `bytes` hold, or nothing when they are not exactly one well-formed CBOR value of
-/// bounded depth. Never throws.
+/// Returns the value that `bytes` encode, or nullopt if they are not exactly one well-formed CBOR
+/// value of at most the maximum depth. Never throws.
 std::optional<nlohmann::json> parseCbor(std::string_view bytes);
 
 }  // namespace coursepond
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -1,4 +1,5 @@
-/// Encoding of the messages: each is one CBOR array whose first element names the type.
+/// Encoding of the membership messages. Each message is one CBOR array whose first element is the
+/// type number.
 
 #include <boost/asio/ip/address_v4.hpp>
 #include <limits>
@@ -14,7 +15,7 @@
 using boost::asio::ip::address_v4;
 using boost::asio::ip::make_address_v4;
 
-/// Thrown by readers inside this file only; decodeMessage turns it into kMalformed.
+/// Thrown by the read functions of this file. decodeMessage converts it to kMalformed.
 struct Malformed {};
 
 void require(bool condition) {
@@ -25,7 +26,8 @@
 
 // ---- Reading plain values ----
 
-/// Walks over the elements of one array and refuses any that is missing, left over or mistyped.
+/// Reads the elements of one array in order. Throws Malformed if an element is missing, has the
+/// wrong type or is left over.
 class ArrayReader {
  public:
   explicit ArrayReader(const Json& array) : array_(array) { require(array.is_array()); }
@@ -85,21 +87,21 @@
 
 // ---- Members ----
 
-constexpr std::uint64_t kLeavingFlag = 4;  ///< Above the two bits of the state.
+constexpr std::uint64_t kLeavingFlag = 4;  ///< The two bits below it hold the state.
 constexpr std::uint64_t kStateMask = 3;
 
-Json writeMember(const Member& member, const ZoneId& usual_zone) {
+Json writeMember(const Member& member, const ZoneId& default_zone) {
   const std::uint64_t flags =
       static_cast<std::uint64_t>(member.state) | (member.leaving ? kLeavingFlag : 0);
   Json array = {member.id.value(), writeHost(member.peer_address.host), member.peer_address.port,
                 member.incarnation.value(), flags};
-  if (member.zone != usual_zone) {
+  if (member.zone != default_zone) {
     array.push_back(member.zone.value());
   }
   return array;
 }
 
-Member readMember(const Json& value, const ZoneId& usual_zone) {
+Member readMember(const Json& value, const ZoneId& default_zone) {
   ArrayReader reader(value);
   Member member;
   member.id = reader.name<NodeId>();
@@ -110,22 +112,22 @@
   const std::uint64_t flags = reader.number(kStateMask | kLeavingFlag);
   member.state = static_cast<MemberState>(flags & kStateMask);
   member.leaving = (flags & kLeavingFlag) != 0;
-  member.zone = reader.atEnd() ? usual_zone : reader.name<ZoneId>();
+  member.zone = reader.atEnd() ? default_zone : reader.name<ZoneId>();
   require(!member.zone.empty());
   reader.finish();
   return member;
 }
 
-/// The first element is the zone that members have unless they say otherwise.
+/// The first element is the default zone; a member carries its own zone only if it differs.
 Json writeMembers(const std::vector<Member>& members) {
   Json array = Json::array();
   if (members.empty()) {
     return array;
   }
-  const ZoneId& usual_zone = members.front().zone;
-  array.push_back(usual_zone.value());
+  const ZoneId& default_zone = members.front().zone;
+  array.push_back(default_zone.value());
   for (const Member& member : members) {
-    array.push_back(writeMember(member, usual_zone));
+    array.push_back(writeMember(member, default_zone));
   }
   return array;
 }
@@ -136,9 +138,9 @@
   if (reader.atEnd()) {
     return members;
   }
-  const ZoneId usual_zone = reader.name<ZoneId>();
+  const ZoneId default_zone = reader.name<ZoneId>();
   while (!reader.atEnd()) {
-    members.push_back(readMember(reader.next(), usual_zone));
+    members.push_back(readMember(reader.next(), default_zone));
   }
   return members;
 }
@@ -187,7 +189,8 @@
   return report;
 }
 
-/// Appended to the message's array: nothing, members, or members and reports.
+/// Appends the updates to the message's array: nothing, the members, or the members and the
+/// reports.
 void appendUpdates(Json& array, const Updates& updates) {
   if (updates.empty()) {
     return;
@@ -404,7 +407,7 @@
 
 Error malformed() {
   return {ErrorKind::kMalformed, "bytes are not a membership message",
-          "check that all nodes run versions of coursepond that can talk to each other"};
+          "check that all nodes run compatible versions of coursepond"};
 }
 
 }  // namespace
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -3,20 +3,22 @@
 namespace coursepond::membership {
 namespace {
 
-/// A report holds about this many members' bytes.
+/// Size of an encoded zone report, in units of an encoded member.
 constexpr std::size_t kReportWeight = 5;
 
-/// Cuts news into messages of bounded weight.
+/// Packs updates into messages of bounded weight. A member has weight 1.
 class Packer {
  public:
   explicit Packer(std::size_t weight_limit) : weight_limit_(weight_limit) {}
 
-  void add(const Member& member) { room(1).members.push_back(member); }
-  void add(const ZoneReport& report) { room(kReportWeight).reports.push_back(report); }
+  void add(const Member& member) { updatesWithRoomFor(1).members.push_back(member); }
+  void add(const ZoneReport& report) {
+    updatesWithRoomFor(kReportWeight).reports.push_back(report);
+  }
   std::vector<Gossip> take() { return std::move(messages_); }
 
  private:
-  Updates& room(std::size_t weight) {
+  Updates& updatesWithRoomFor(std::size_t weight) {
     if (messages_.empty() || weight_ + weight > weight_limit_) {
       messages_.emplace_back();
       weight_ = 0;
@@ -47,12 +49,12 @@
   Packer packer(settings_.max_updates_per_message);
   for (const auto& [id, item] : members_) {
     if (item.fresh && item.source != neighbour) {
-      packer.add(item.news);
+      packer.add(item.update);
     }
   }
   for (const auto& [key, item] : reports_) {
     if (item.fresh && item.source != neighbour) {
-      packer.add(item.news);
+      packer.add(item.update);
     }
   }
   return packer.take();
@@ -63,7 +65,7 @@
     item.fresh = false;
   }
   std::erase_if(members_, [](const auto& entry) { return entry.second.transmissions_left == 0; });
-  // Reports are large, and a lost one is repaired by the digests: they ride on no probes.
+  // Reports are not piggybacked: they are large, and a lost report is repaired through the digests.
   reports_.clear();
   has_fresh_ = false;
 }
@@ -77,7 +79,7 @@
       ++item;
       continue;
     }
-    updates.members.push_back(queued.news);
+    updates.members.push_back(queued.update);
     --queued.transmissions_left;
     item = queued.transmissions_left == 0 ? members_.erase(item) : std::next(item);
   }
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// News waiting to be passed on. Each item goes once to every neighbour, then rides on a bounded
-/// number of probes and answers, and is then left to the comparison of digests.
+/// Queue of updates to disseminate. Each update is gossiped once to every neighbour. Member updates
+/// are then piggybacked on a bounded number of probes and acks. Losses after that are repaired by
+/// the comparison of table digests.
 
 #include <map>
 #include <utility>
@@ -16,31 +17,32 @@
  public:
   explicit GossipQueue(const Settings& settings) : settings_(settings) {}
 
-  /// `source` told it and need not hear it again; empty when it is this node's own news. Replaces
-  /// an older item about the same member.
+  /// Adds an update and replaces an older one about the same member. `source` is the node that sent
+  /// the update and does not get it back in gossip; empty for an update made by this node.
   void add(const Member& member, const NodeId& source);
   void add(const ZoneReport& report, const NodeId& source);
 
-  /// True when some item has not been gossiped yet.
+  /// Returns true if some update has not been gossiped yet.
   bool hasFresh() const { return has_fresh_; }
 
-  /// The fresh items for one neighbour, as messages of bounded size.
+  /// Returns the updates that have not been gossiped yet, packed for `neighbour` into messages of
+  /// bounded size.
   std::vector<Gossip> freshFor(const NodeId& neighbour) const;
-  /// Called after every neighbour got its fresh items.
+  /// Called after the fresh updates have been sent to every neighbour.
   void markGossiped();
 
-  /// A few items to ride on a probe or an answer; counts against their transmissions.
+  /// Returns a few updates to piggyback on a probe or an ack, and counts one transmission for each.
   Updates takePiggyback();
 
  private:
-  template <typename News>
+  template <typename Update>
   struct Item {
-    News news;
+    Update update;
     NodeId source;
     bool fresh = true;
     std::size_t transmissions_left = 0;
   };
-  using ReportKey = std::pair<ZoneId, NodeId>;  ///< The zone told of, and the reporter.
+  using ReportKey = std::pair<ZoneId, NodeId>;  ///< The reported zone and the reporter.
 
   const Settings& settings_;
   bool has_fresh_ = false;
--- a/src/membership/leaving_marks.cpp
+++ b/src/membership/leaving_marks.cpp
@@ -18,15 +18,16 @@
     const auto earlier = listings_.find(node.id);
     const bool first_seen = earlier == listings_.end();
     if (node.state == MachineState::kLeaving && first_seen &&
-        *table.lifeKnownSince(node.id) > known_before) {
-      continue;  // Perhaps an earlier life was meant; the next list is looked at again.
+        *table.processKnownSince(node.id) > known_before) {
+      continue;  // The entry may mean an earlier process. The next list is checked again.
     }
     const bool still_leaving = node.state == MachineState::kLeaving && !first_seen &&
                                earlier->second.state == MachineState::kLeaving;
-    const Incarnation life = still_leaving ? earlier->second.life : member->incarnation;
-    listings[node.id] = {node.state, life};
+    const Incarnation incarnation =
+        still_leaving ? earlier->second.incarnation : member->incarnation;
+    listings[node.id] = {node.state, incarnation};
     if (node.state == MachineState::kLeaving && !member->leaving && isLive(*member) &&
-        isSameLife(life, member->incarnation)) {
+        isSameProcess(incarnation, member->incarnation)) {
       to_mark.push_back(node.id);
     }
   }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -41,8 +41,8 @@
   if (merged == entry.member) {
     return false;
   }
-  if (!isSameLife(entry.member.incarnation, merged.incarnation)) {
-    entry.life_known_since = now;
+  if (!isSameProcess(entry.member.incarnation, merged.incarnation)) {
+    entry.process_known_since = now;
   }
   entry.member = std::move(merged);
   entry.changed = now;
@@ -65,9 +65,9 @@
   return found == entries_.end() ? std::nullopt : std::optional(found->second.changed);
 }
 
-std::optional<TimePoint> MemberTable::lifeKnownSince(const NodeId& id) const {
+std::optional<TimePoint> MemberTable::processKnownSince(const NodeId& id) const {
   const auto found = entries_.find(id);
-  return found == entries_.end() ? std::nullopt : std::optional(found->second.life_known_since);
+  return found == entries_.end() ? std::nullopt : std::optional(found->second.process_known_since);
 }
 
 std::size_t MemberTable::liveCount() const {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The own zone as known here: every node of it, dead ones for a while, and the probing rings.
+/// The members of this node's zone, including recently dead ones, and the probing rings.
 
 #include <cstdint>
 #include <map>
@@ -13,57 +13,60 @@
 
 namespace coursepond::membership {
 
-/// Each ring orders the live members by another stable hash. A node probes its successor on each
-/// ring and gossips with both neighbours, so that the number of connections per node does not
-/// grow with the zone, while the rings together mix like a random graph.
+/// All known members of one zone. Each probing ring orders the live members by a different stable
+/// hash. A node probes its successor on each ring and gossips with both neighbours. The number of
+/// connections per node therefore does not grow with the zone, and the union of the rings spreads
+/// updates about as fast as a random graph.
 class MemberTable {
  public:
   MemberTable(const Member& self, std::size_t rings, TimePoint now);
 
   const Member& self() const;
-  /// Replaces what this node says of itself.
+  /// Replaces this node's own entry.
   void setSelf(const Member& self, TimePoint now);
 
-  /// Merges a claim about another node of the zone. Returns true when it was news.
+  /// Merges a claim about another node of the zone. Returns true if this changed the table.
   bool merge(const Member& claim, TimePoint now);
 
-  /// What is known of a node, dead or alive; nothing when unknown.
+  /// Returns the entry of a node, live or dead, or nullptr if the node is unknown.
   const Member* find(const NodeId& id) const;
-  /// True when the node is known and alive or suspect.
+  /// Returns true if the node is known and alive or suspect.
   bool isLive(const NodeId& id) const;
-  /// When the node's state last changed here.
+  /// Returns when the node's entry last changed, or nullopt if the node is unknown.
   std::optional<TimePoint> changedAt(const NodeId& id) const;
 
-  /// Since when the node's present life is known here.
-  std::optional<TimePoint> lifeKnownSince(const NodeId& id) const;
+  /// Returns since when the node's current process has been known here, or nullopt if the node is
+  /// unknown.
+  std::optional<TimePoint> processKnownSince(const NodeId& id) const;
 
   std::size_t liveCount() const;
-  /// Live members sorted by id, this node included.
+  /// Returns the live members sorted by id, this node included.
   std::vector<Member> liveMembers() const;
-  /// Everything known, dead members included, sorted by id.
+  /// Returns all known members sorted by id, dead ones included.
   std::vector<Member> allMembers() const;
-  /// Members that died here (did not leave), sorted by id.
+  /// Returns the members declared dead, sorted by id; members that left are not included.
   std::vector<Member> deadMembers() const;
 
-  /// Whom to gossip with: the neighbours on all rings.
+  /// Returns the nodes to gossip with: the neighbours of this node on all rings.
   const std::vector<NodeId>& neighbours() const;
-  /// The neighbours that `id` has: whoever probes it, and can relay a probe to it.
+  /// Returns the ring neighbours of `id`, without this node. They can relay a probe to it.
   std::vector<NodeId> neighboursOf(const NodeId& id) const;
-  /// Whom to probe: on each ring the successors up to the first that is not suspect.
+  /// Returns the nodes to probe: on each ring the successors up to the first that is not suspect.
   const std::vector<NodeId>& probeTargets() const;
 
-  /// The `count` live members that rank first for a duty, leaving ones last.
+  /// Returns the `count` live members that rank first for the duty with this salt. Leaving members
+  /// rank last.
   const std::vector<NodeId>& bestFor(std::uint64_t salt, std::size_t count) const;
-  /// True when `id` is among the `count` best for the duty.
+  /// Returns true if `id` is among the `count` first-ranked members for the duty.
   bool isBestFor(std::uint64_t salt, std::size_t count, const NodeId& id) const;
 
-  /// Rises with every change of the table.
+  /// Incremented with every change of the table.
   std::uint64_t version() const { return version_; }
 
-  /// A hash of all live members and their incarnations.
+  /// Returns a hash of all live members, their incarnations and leaving marks.
   TableDigest digest() const;
 
-  /// Forgets members that have been dead or gone since before `limit`.
+  /// Removes members that have been dead or left since before `limit`.
   void forgetDeadBefore(TimePoint limit);
 
  private:
@@ -71,7 +74,7 @@
     Member member;
     std::uint64_t name_hash = 0;
     TimePoint changed;
-    TimePoint life_known_since;
+    TimePoint process_known_since;
   };
   struct RankedEntry {
     std::uint64_t rank = 0;
@@ -79,7 +82,7 @@
   };
   using Ring = std::vector<RankedEntry>;
 
-  /// The live members, in no order.
+  /// Returns the live members with their ranks, unsorted.
   Ring ranked(std::uint64_t salt) const;
   Ring ring(std::size_t number) const;
   void refreshNeighbours() const;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -19,14 +19,15 @@
 namespace coursepond::membership {
 namespace {
 
-/// Reports of zones on one page of a table copy.
+/// Maximum number of zone reports on one page of a table copy.
 constexpr std::size_t kReportsPerPage = 12;
 
-/// Old knowledge is dropped once in this many probe intervals.
-constexpr std::uint64_t kTicksPerCleaning = 16;
+/// Number of probe intervals between two removals of expired entries.
+constexpr std::uint64_t kTicksPerCleanup = 16;
 
-/// Addresses told are remembered up to this many, and then told again.
-constexpr std::size_t kToldAddressesLimit = 8192;
+/// Maximum number of addresses remembered as announced. Above it the record is cleared, and
+/// addresses are announced again.
+constexpr std::size_t kMaxNotifiedAddresses = 8192;
 
 TableDigest combine(TableDigest members, TableDigest reports) {
   return static_cast<TableDigest>(mixBits(members ^ mixBits(reports)));
@@ -52,14 +53,14 @@
   const MembershipStatistics& statistics() const { return statistics_; }
 
  private:
-  /// Every message goes out here, so that the address of its receiver is told before.
+  /// Sends every outgoing message, after it has announced the receiver's address to the observer.
   void send(const NodeId& to, const Message& message) override;
 
   // Time.
   void tick();
   void scheduleTick();
-  void forgetOld();
-  bool overdue() const;
+  void forgetExpired();
+  bool isTickOverdue() const;
   void detectPause();
 
   // Messages.
@@ -75,25 +76,25 @@
   void on(const NodeId& from, const ZoneAnswer& answer);
 
   // Claims.
-  void learn(const Updates& updates, const NodeId& source);
-  void learn(const Member& claim, const NodeId& source);
-  void learn(const ZoneReport& report, const NodeId& source);
-  void learnOfSelf(const Member& claim);
-  void spread(const Member& member, const NodeId& source);
-  Updates newsFor(const NodeId& to);
-  void gossipSoon();
+  void applyUpdate(const Updates& updates, const NodeId& source);
+  void applyUpdate(const Member& claim, const NodeId& source);
+  void applyUpdate(const ZoneReport& report, const NodeId& source);
+  void applyClaimAboutSelf(const Member& claim);
+  void enqueueGossip(const Member& member, const NodeId& source);
+  Updates updatesFor(const NodeId& to);
+  void scheduleGossip();
   void gossip();
 
   // Suspicion.
   void suspect(const NodeId& target);
-  void watchSuspect(const Member& suspect);
+  void startSuspicionTimer(const Member& suspect);
   void declareDead(const NodeId& id, Incarnation incarnation);
 
   // Tables.
   TableDigest digest() const;
   void compareDigest(const NodeId& from, TableDigest theirs);
   void requestSync(const NodeId& from);
-  void askNeighbour();
+  void syncWithRandomNeighbour();
   void sendTable(const NodeId& to, SequenceNumber sequence, bool send_back);
 
   // Joining.
@@ -102,15 +103,15 @@
   Duration joinBackoff();
   void reconnect();
   Duration reconnectDelay() const;
-  std::vector<Member> lostPeers() const;
+  std::vector<Member> joinCandidates() const;
   void sendJoinRequest(const Member& seed);
-  void confirmWhenAlone();
+  void confirmOnJoinTimeout();
 
   // View.
   void publishView();
   void rebuildView();
   View buildView() const;
-  void tellAddress(const Member& member);
+  void notifyPeerAddress(const Member& member);
 
   Settings settings_;
   Environment& environment_;
@@ -118,31 +119,32 @@
   MembershipObserver& observer_;
   MembershipStatistics statistics_;
 
-  Incarnation life_;  ///< The incarnation with which this process began.
+  Incarnation initial_incarnation_;  ///< Incarnation with which this process started.
   MemberTable table_;
   ZoneDirectory zones_;
   SeedBook seeds_;
   LeavingMarks leaving_marks_;
-  GossipQueue news_;
+  GossipQueue gossip_queue_;
   Prober prober_;
   ZoneGateway gateway_;
   TokenBucket handshakes_;
-  std::size_t joins_waiting_ = 0;  ///< Deferred lately: the next comes back after them.
+  /// Joins deferred recently. A further deferred joiner is asked to retry after them.
+  std::size_t deferred_joins_ = 0;
 
-  /// What the view was built from.
+  /// Versions of the tables that the view was built from.
   struct ViewInputs {
     std::uint64_t members = 0;
     std::uint64_t zones = 0;
     friend bool operator==(const ViewInputs&, const ViewInputs&) = default;
   };
   View view_;
-  Roles view_roles_;  ///< computeRoles of the view.
+  Roles view_roles_;  ///< Result of computeRoles(view_).
   ViewInputs view_inputs_;
   ZoneSummary own_summary_;
-  mutable std::optional<TableDigest> digest_;  ///< Of digest_inputs_.
+  mutable std::optional<TableDigest> digest_;  ///< Cached digest for digest_inputs_.
   mutable ViewInputs digest_inputs_;
-  std::map<NodeId, Address> told_addresses_;
-  std::map<NodeId, std::size_t> mismatches_;  ///< Differing digests in a row, by peer.
+  std::map<NodeId, Address> notified_addresses_;
+  std::map<NodeId, std::size_t> mismatches_;  ///< Consecutive differing digests, by peer.
   struct Suspicion {
     explicit Suspicion(Environment& environment) : timer(environment) {}
     Timer timer;
@@ -153,16 +155,18 @@
   bool started_ = false;
   bool left_ = false;
   bool joined_ = false;
-  /// Peers confirmed that this node takes part; false while joining and after a pause.
+  /// True if peers have confirmed that this node is a member. False while joining and after a
+  /// pause.
   bool confirmed_ = false;
-  bool zone_answered_ = false;  ///< Another zone answered since confirmation was lost.
+  /// True if another zone has answered since the confirmation was lost.
+  bool zone_answered_ = false;
   TimePoint unconfirmed_since_;
-  TimePoint next_tick_;  ///< When the tick is due; far later means a pause.
+  TimePoint next_tick_;  ///< When the next tick is due. A much later time indicates a pause.
   std::uint64_t ticks_ = 0;
   TimePoint last_sync_;
   SequenceNumber sync_sequence_ = 0;
-  std::size_t join_rounds_ = 0;   ///< Times that every seed was asked.
-  std::set<NodeId> seeds_asked_;  ///< In the present round.
+  std::size_t join_rounds_ = 0;   ///< Number of rounds in which every seed was tried.
+  std::set<NodeId> tried_seeds_;  ///< Seeds tried in the current round.
 
   Timer tick_timer_;
   Timer gossip_timer_;
@@ -170,7 +174,7 @@
   Timer reconnect_timer_;
 };
 
-// ---- Construction and the outer calls ----
+// ---- Construction and public functions ----
 
 Membership::Implementation::Implementation(const Member& self, Settings settings,
                                            Environment& environment, MessageSender<Message>& sender,
@@ -179,13 +183,13 @@
       environment_(environment),
       transport_(sender),
       observer_(observer),
-      life_(self.incarnation),
+      initial_incarnation_(self.incarnation),
       table_(self, kProbeRings, environment.now()),
       zones_(table_, settings_),
       seeds_(self, environment),
-      news_(settings_),
+      gossip_queue_(settings_),
       prober_(table_, settings_, environment, *this, statistics_,
-              {[this](const NodeId& to) { return newsFor(to); }, [this] { return digest(); },
+              {[this](const NodeId& to) { return updatesFor(to); }, [this] { return digest(); },
                [this](const NodeId& target) {
                  suspect(target);
                  publishView();
@@ -193,7 +197,7 @@
       gateway_(table_, zones_, seeds_, settings_, environment, *this,
                [this](const ZoneReport& report) {
                  ++statistics_.zone_reports;
-                 learn(report, table_.self().id);
+                 applyUpdate(report, table_.self().id);
                }),
       handshakes_(settings.handshakes_per_second, settings.handshake_burst, environment.now()),
       unconfirmed_since_(environment.now()),
@@ -210,7 +214,7 @@
 void Membership::Implementation::start() {
   started_ = true;
   unconfirmed_since_ = environment_.now();
-  // The phase of the ticks is spread, so that a herd does not probe in step.
+  // A random phase keeps nodes that start together from probing in lockstep.
   const Duration phase(static_cast<Duration::rep>(
       environment_.random(static_cast<std::uint64_t>(settings_.probe_interval.count()))));
   next_tick_ = environment_.now() + phase;
@@ -227,7 +231,7 @@
        leaving_marks_.update(nodes, table_, environment_.now() - settings_.listing_lag)) {
     Member marked = *table_.find(id);
     marked.leaving = true;
-    learn(marked, table_.self().id);
+    applyUpdate(marked, table_.self().id);
   }
   publishView();
 }
@@ -264,7 +268,7 @@
 }
 
 Roles Membership::Implementation::roles() const {
-  const bool active = started_ && !left_ && confirmed_ && !overdue();
+  const bool active = started_ && !left_ && confirmed_ && !isTickOverdue();
   return active ? view_roles_ : Roles{};
 }
 
@@ -286,7 +290,7 @@
 
 void Membership::Implementation::send(const NodeId& to, const Message& message) {
   if (const Member* member = find(to)) {
-    tellAddress(*member);
+    notifyPeerAddress(*member);
   }
   transport_.send(to, message);
 }
@@ -295,29 +299,29 @@
   detectPause();
   scheduleTick();
   if (!confirmed_) {
-    confirmWhenAlone();
-    askNeighbour();
+    confirmOnJoinTimeout();
+    syncWithRandomNeighbour();
   }
   prober_.onTick();
   zones_.refresh(environment_.now());
   if (confirmed_) {
     gateway_.onTick(own_summary_);
   }
-  if (++ticks_ % kTicksPerCleaning == 0) {
-    forgetOld();
+  if (++ticks_ % kTicksPerCleanup == 0) {
+    forgetExpired();
   }
-  joins_waiting_ -=
-      std::min(joins_waiting_, static_cast<std::size_t>(settings_.handshakes_per_second));
+  deferred_joins_ -=
+      std::min(deferred_joins_, static_cast<std::size_t>(settings_.handshakes_per_second));
   publishView();
 }
 
-void Membership::Implementation::forgetOld() {
+void Membership::Implementation::forgetExpired() {
   const TimePoint now = environment_.now();
   table_.forgetDeadBefore(now - settings_.dead_retention);
   zones_.forget(now);
-  seeds_.forgetHeardBefore(now - settings_.dead_retention);
-  if (told_addresses_.size() > kToldAddressesLimit) {
-    told_addresses_.clear();
+  seeds_.forgetReportedBefore(now - settings_.dead_retention);
+  if (notified_addresses_.size() > kMaxNotifiedAddresses) {
+    notified_addresses_.clear();
   }
 }
 
@@ -326,12 +330,12 @@
   tick_timer_.start(settings_.probe_interval, [this] { tick(); });
 }
 
-bool Membership::Implementation::overdue() const {
+bool Membership::Implementation::isTickOverdue() const {
   return environment_.now() - next_tick_ > settings_.pause_threshold;
 }
 
 void Membership::Implementation::detectPause() {
-  if (!overdue()) {
+  if (!isTickOverdue()) {
     return;
   }
   const Duration pause = environment_.now() - next_tick_ + settings_.probe_interval;
@@ -339,7 +343,8 @@
   confirmed_ = false;
   zone_answered_ = false;
   unconfirmed_since_ = environment_.now();
-  // Whoever did not answer meanwhile may well have: nobody is blamed for our own absence.
+  // Answers may have arrived unread during the pause, so pending probes are discarded and suspects
+  // get the full suspicion timeout again.
   prober_.reset();
   for (auto& [id, suspicion] : suspicions_) {
     if (const Member* member = table_.find(id)) {
@@ -350,20 +355,20 @@
   }
   gateway_.onPause();
   scheduleTick();
-  askNeighbour();
+  syncWithRandomNeighbour();
   observer_.onPauseDetected(pause);
 }
 
 // ---- Messages ----
 
 void Membership::Implementation::on(const NodeId& from, const Ping& ping) {
-  learn(ping.updates, from);
+  applyUpdate(ping.updates, from);
   prober_.onPing(from, ping);
   compareDigest(from, ping.table_digest);
 }
 
 void Membership::Implementation::on(const NodeId& from, const Ack& ack) {
-  learn(ack.updates, from);
+  applyUpdate(ack.updates, from);
   if (prober_.onAck(ack)) {
     joined_ = true;
     confirmed_ = confirmed_ || ack.table_digest == digest();
@@ -376,22 +381,22 @@
 }
 
 void Membership::Implementation::on(const NodeId& from, const Gossip& gossip) {
-  learn(gossip.updates, from);
+  applyUpdate(gossip.updates, from);
 }
 
 void Membership::Implementation::on(const NodeId& from, const JoinRequest& request) {
   if (request.joiner.zone != table_.self().zone || request.joiner.id != from) {
     return;
   }
-  tellAddress(request.joiner);
+  notifyPeerAddress(request.joiner);
   if (!handshakes_.take(environment_.now())) {
-    ++joins_waiting_;
+    ++deferred_joins_;
     ++statistics_.joins_deferred;
-    send(from, JoinDeferred{handshakes_.delayFor(static_cast<double>(joins_waiting_))});
+    send(from, JoinDeferred{handshakes_.delayFor(static_cast<double>(deferred_joins_))});
     return;
   }
   ++statistics_.joins_served;
-  learn(request.joiner, from);
+  applyUpdate(request.joiner, from);
   sendTable(from, 0, false);
 }
 
@@ -413,20 +418,21 @@
 
 void Membership::Implementation::on(const NodeId& from, const TablePage& page) {
   for (Member claim : page.table.members) {
-    // A copy may be old, and after a cut each side holds the other for dead: the member gets the
-    // chance to refute before it is dropped here.
+    // A table copy may be stale, and after a partition each side believes the other side dead. The
+    // claim is reduced to a suspicion, so that a live member can refute it.
     if (claim.state == MemberState::kDead && table_.isLive(claim.id)) {
       claim.state = MemberState::kSuspect;
     }
-    learn(claim, from);
+    applyUpdate(claim, from);
   }
   for (const ZoneReport& report : page.table.reports) {
-    learn(report, from);
+    applyUpdate(report, from);
   }
   if (!page.last) {
     return;
   }
-  // A page from before a pause proves nothing: only the answer to the last question counts then.
+  // After a pause only the response to the latest sync request confirms this node: an earlier page
+  // may have been sent before the pause.
   if (!joined_ || (page.sequence != 0 && page.sequence == sync_sequence_)) {
     confirmed_ = true;
   }
@@ -450,52 +456,53 @@
 
 // ---- Claims ----
 
-void Membership::Implementation::learn(const Updates& updates, const NodeId& source) {
+void Membership::Implementation::applyUpdate(const Updates& updates, const NodeId& source) {
   for (const Member& claim : updates.members) {
-    learn(claim, source);
+    applyUpdate(claim, source);
   }
   for (const ZoneReport& report : updates.reports) {
-    learn(report, source);
+    applyUpdate(report, source);
   }
 }
 
-void Membership::Implementation::learn(const Member& claim, const NodeId& source) {
+void Membership::Implementation::applyUpdate(const Member& claim, const NodeId& source) {
   if (claim.zone != table_.self().zone) {
     return;
   }
   if (claim.id == table_.self().id) {
-    learnOfSelf(claim);
+    applyClaimAboutSelf(claim);
     return;
   }
-  tellAddress(claim);
+  notifyPeerAddress(claim);
   if (!table_.merge(claim, environment_.now())) {
     return;
   }
   const Member& merged = *table_.find(claim.id);
   if (merged.state == MemberState::kSuspect) {
-    watchSuspect(merged);
+    startSuspicionTimer(merged);
   } else {
     suspicions_.erase(claim.id);
   }
   if (!isLive(merged)) {
     mismatches_.erase(claim.id);
   }
-  spread(merged, source);
+  enqueueGossip(merged, source);
 }
 
-void Membership::Implementation::learn(const ZoneReport& report, const NodeId& source) {
+void Membership::Implementation::applyUpdate(const ZoneReport& report, const NodeId& source) {
   if (zones_.merge(report, environment_.now())) {
     for (const Member& contact : report.summary.contacts) {
-      tellAddress(contact);
+      notifyPeerAddress(contact);
     }
-    news_.add(report, source);
-    gossipSoon();
+    gossip_queue_.add(report, source);
+    scheduleGossip();
   }
 }
 
-void Membership::Implementation::learnOfSelf(const Member& claim) {
+void Membership::Implementation::applyClaimAboutSelf(const Member& claim) {
   Member self = table_.self();
-  const bool newly_leaving = claim.leaving && !self.leaving && claim.incarnation >= life_;
+  const bool newly_leaving =
+      claim.leaving && !self.leaving && claim.incarnation >= initial_incarnation_;
   const bool contradicted =
       claim.incarnation > self.incarnation ||
       (claim.incarnation == self.incarnation && claim.state != MemberState::kAlive);
@@ -508,27 +515,27 @@
     ++statistics_.refutations;
   }
   table_.setSelf(self, environment_.now());
-  spread(self, self.id);
+  enqueueGossip(self, self.id);
 }
 
-void Membership::Implementation::spread(const Member& member, const NodeId& source) {
-  news_.add(member, source);
-  gossipSoon();
+void Membership::Implementation::enqueueGossip(const Member& member, const NodeId& source) {
+  gossip_queue_.add(member, source);
+  scheduleGossip();
 }
 
-Updates Membership::Implementation::newsFor(const NodeId& to) {
-  Updates updates = news_.takePiggyback();
-  // Whoever is thought suspect or gone must hear of it, to refute it.
+Updates Membership::Implementation::updatesFor(const NodeId& to) {
+  Updates updates = gossip_queue_.takePiggyback();
+  // A node that is believed suspect, dead or left must receive that claim so that it can refute it.
   const Member* member = table_.find(to);
-  const bool told = std::any_of(updates.members.begin(), updates.members.end(),
-                                [&](const Member& update) { return update.id == to; });
-  if (member != nullptr && member->state != MemberState::kAlive && !told) {
+  const bool included = std::any_of(updates.members.begin(), updates.members.end(),
+                                    [&](const Member& update) { return update.id == to; });
+  if (member != nullptr && member->state != MemberState::kAlive && !included) {
     updates.members.push_back(*member);
   }
   return updates;
 }
 
-void Membership::Implementation::gossipSoon() {
+void Membership::Implementation::scheduleGossip() {
   if (started_ && !left_ && !gossip_timer_.running()) {
     gossip_timer_.start(settings_.gossip_delay, [this] { gossip(); });
   }
@@ -537,11 +544,11 @@
 void Membership::Implementation::gossip() {
   detectPause();
   for (const NodeId& neighbour : table_.neighbours()) {
-    for (const Gossip& message : news_.freshFor(neighbour)) {
+    for (const Gossip& message : gossip_queue_.freshFor(neighbour)) {
       send(neighbour, message);
     }
   }
-  news_.markGossiped();
+  gossip_queue_.markGossiped();
   publishView();
 }
 
@@ -555,10 +562,10 @@
   ++statistics_.suspicions;
   Member claim = *member;
   claim.state = MemberState::kSuspect;
-  learn(claim, table_.self().id);
+  applyUpdate(claim, table_.self().id);
 }
 
-void Membership::Implementation::watchSuspect(const Member& suspect) {
+void Membership::Implementation::startSuspicionTimer(const Member& suspect) {
   const auto [found, added] = suspicions_.try_emplace(suspect.id, environment_);
   found->second.timer.start(
       settings_.suspicion_timeout,
@@ -569,7 +576,7 @@
   detectPause();
   const auto found = suspicions_.find(id);
   if (found == suspicions_.end() || found->second.timer.running()) {
-    return;  // A pause was detected just now: the suspect gets its time again.
+    return;  // A pause was just detected, and the suspicion timer was restarted.
   }
   Suspicion& suspicion = found->second;
   if (suspicion.timer.lateness() > settings_.lateness_tolerance &&
@@ -587,7 +594,7 @@
   ++statistics_.deaths;
   Member claim = *member;
   claim.state = MemberState::kDead;
-  learn(claim, table_.self().id);
+  applyUpdate(claim, table_.self().id);
   publishView();
 }
 
@@ -624,7 +631,7 @@
   send(from, SyncRequest{++sync_sequence_, digest()});
 }
 
-void Membership::Implementation::askNeighbour() {
+void Membership::Implementation::syncWithRandomNeighbour() {
   const std::vector<NodeId>& peers = table_.neighbours();
   if (joined_ && !peers.empty()) {
     requestSync(peers[environment_.random(peers.size())]);
@@ -668,17 +675,17 @@
   if (joined_ && table_.liveCount() > 1) {
     return;
   }
-  std::vector<Member> seeds = lostPeers();
-  std::erase_if(seeds, [this](const Member& seed) { return seeds_asked_.contains(seed.id); });
+  std::vector<Member> seeds = joinCandidates();
+  std::erase_if(seeds, [this](const Member& seed) { return tried_seeds_.contains(seed.id); });
   if (!seeds.empty()) {
     const Member& seed = seeds[environment_.random(seeds.size())];
-    seeds_asked_.insert(seed.id);
+    tried_seeds_.insert(seed.id);
     sendJoinRequest(seed);
   }
-  // The backoff grows only once every seed was asked in vain: a dead seed must not keep a new node
-  // from the living one beside it.
+  // The backoff grows only after every seed has been tried without success: a dead seed must not
+  // delay joining through a live one.
   if (seeds.size() <= 1) {
-    seeds_asked_.clear();
+    tried_seeds_.clear();
     ++join_rounds_;
   }
   scheduleJoin(settings_.join_answer_timeout + joinBackoff());
@@ -694,7 +701,7 @@
 
 void Membership::Implementation::reconnect() {
   detectPause();
-  const std::vector<Member> peers = lostPeers();
+  const std::vector<Member> peers = joinCandidates();
   if (confirmed_ && !peers.empty()) {
     sendJoinRequest(peers[environment_.random(peers.size())]);
   }
@@ -702,7 +709,8 @@
 }
 
 Duration Membership::Implementation::reconnectDelay() const {
-  // The whole zone makes a few calls per second, whatever its size.
+  // The delay grows with the zone, so that all nodes of a zone together make only a few join
+  // requests per second.
   constexpr int kCallsPerSecond = 4;
   const Duration shared =
       std::chrono::seconds(1) * static_cast<int>(table_.liveCount()) / kCallsPerSecond;
@@ -712,7 +720,7 @@
   return mean / 2 + Duration(static_cast<Duration::rep>(environment_.random(2 * half + 1)));
 }
 
-std::vector<Member> Membership::Implementation::lostPeers() const {
+std::vector<Member> Membership::Implementation::joinCandidates() const {
   std::vector<Member> peers;
   for (const Member& seed : seeds_.nodesOf(table_.self().zone)) {
     if (!table_.isLive(seed.id)) {
@@ -726,15 +734,15 @@
 }
 
 void Membership::Implementation::sendJoinRequest(const Member& seed) {
-  tellAddress(seed);
+  notifyPeerAddress(seed);
   ++statistics_.joins_sent;
   send(seed.id, JoinRequest{table_.self()});
 }
 
-void Membership::Implementation::confirmWhenAlone() {
+void Membership::Implementation::confirmOnJoinTimeout() {
   const Duration waited = environment_.now() - unconfirmed_since_;
   const bool alone = table_.liveCount() == 1;
-  const bool nobody_to_ask = zone_answered_ || !seeds_.knowsAnyone();
+  const bool nobody_to_ask = zone_answered_ || !seeds_.hasNodes();
   if ((alone && nobody_to_ask && waited >= settings_.join_timeout) ||
       waited >= settings_.join_timeout_unanswered) {
     joined_ = true;
@@ -778,18 +786,18 @@
   return view;
 }
 
-void Membership::Implementation::tellAddress(const Member& member) {
+void Membership::Implementation::notifyPeerAddress(const Member& member) {
   if (member.id == table_.self().id) {
     return;
   }
-  Address& told = told_addresses_[member.id];
-  if (told != member.peer_address) {
-    told = member.peer_address;
+  Address& notified = notified_addresses_[member.id];
+  if (notified != member.peer_address) {
+    notified = member.peer_address;
     observer_.onPeerAddress(member.id, member.peer_address);
   }
 }
 
-// ---- The outer class ----
+// ---- Membership ----
 
 Membership::Membership(const Member& self, Settings settings, Environment& environment,
                        MessageSender<Message>& sender, MembershipObserver& observer)
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// SWIM-style membership of one node, as a decision class without sockets.
+/// SWIM-style membership protocol of one node: joining, failure detection, gossip, and reachability
+/// of the other zones. A decision class without sockets.
 
 #include <functional>
 #include <memory>
@@ -14,16 +15,19 @@
 
 namespace coursepond::membership {
 
-/// Told of changes. Calls come from inside Membership's own calls; do not call back into it.
+/// Receives notifications of changes. Called from inside Membership's functions; do not call back
+/// into Membership.
 class MembershipObserver {
  public:
   virtual ~MembershipObserver() = default;
   /// The view changed in members, zones or reachability.
   virtual void onViewChanged(const View& view) = 0;
-  /// This process was paused for about `pause`; its roles count as lost until peers answer.
+  /// This process was paused for about `pause`. It holds no roles until peers have confirmed that
+  /// it still takes part.
   virtual void onPauseDetected(Duration pause) = 0;
-  /// Where a node can be reached, told before the first message to it and again when it moves:
-  /// members, contacts of other zones, joiners, and seeds that other zones named.
+  /// Announces the peer address of a node, before the first message to it and again when the
+  /// address changes. Covers members, contacts of other zones, joining nodes, and seeds that other
+  /// zones reported.
   virtual void onPeerAddress(const NodeId& node, const Address& address) {
     (void)node;
     (void)address;
@@ -39,42 +43,45 @@
   std::uint64_t deaths = 0;
   std::uint64_t joins_sent = 0;
   std::uint64_t joins_served = 0;
-  std::uint64_t joins_deferred = 0;  ///< Answered "later" by the handshake cap.
-  std::uint64_t syncs_sent = 0;      ///< Differing digests or a pause led to a table copy.
-  std::uint64_t zone_reports = 0;    ///< Reports of other zones made by this node.
+  std::uint64_t joins_deferred = 0;  ///< Join requests deferred by the handshake rate limit.
+  std::uint64_t syncs_sent = 0;      ///< Table copies requested from peers.
+  std::uint64_t zone_reports = 0;    ///< Reports about other zones published by this node.
   std::uint64_t pauses_detected = 0;
 };
 
 class Membership {
  public:
-  /// `self.incarnation` must be above that of any earlier life of the id (wall-clock milliseconds
-  /// at start will do; the caller supplies it). All references must outlive this.
+  /// `self.incarnation` must be above that of any earlier process with this node id; the wall-clock
+  /// time at start in milliseconds is sufficient. All references must outlive this object.
   Membership(const Member& self, Settings settings, Environment& environment,
              MessageSender<Message>& sender, MembershipObserver& observer);
   ~Membership();
 
-  /// Begins to join through the seeds known so far, with full jitter, and to probe.
+  /// Starts probing, and joining through the known seeds after a random delay (full jitter).
   void start();
 
-  /// The platform's list: hints to join through, and sticky leaving marks. It decides nothing.
+  /// Passes the platform's machine list. It supplies seeds to join through and leaving marks; it
+  /// never adds or removes members.
   void addHints(const std::vector<model::ListedNode>& nodes);
 
-  /// The zones of the mesh by settings: known from the start and never forgotten, so that a node
-  /// that starts on the small side of a cut does not take its side for the whole mesh.
+  /// Adds the zones that the settings name. They are known from the start and never forgotten, so
+  /// that a node that starts on the small side of a partition does not mistake its side for the
+  /// whole mesh.
   void addZones(const std::vector<ZoneId>& zones);
 
   void onMessage(const NodeId& from, const Message& message);
 
-  /// Tells peers that this node leaves; afterwards it sends nothing more.
+  /// Announces to the neighbours that this node has left. It sends nothing afterwards.
   void leave();
 
   const View& view() const;
-  /// Roles under the current view; none while joining, after a pause until peers answered, or
-  /// when leaving.
+  /// Returns the roles under the current view. Empty while joining, after a pause until peers have
+  /// confirmed this node, and after leave().
   Roles roles() const;
-  /// Where to reach a member, or nothing when unknown.
+  /// Returns a node of this zone, a contact of another zone or a seed, or nullptr if unknown.
   const Member* find(const NodeId& id) const;
-  /// At least one peer answered since the start, or none was ever known for the join timeout.
+  /// Returns true if at least one peer has answered since the start, or the join timeout has passed
+  /// without an answer.
   bool joined() const;
   const MembershipStatistics& statistics() const;
 
--- a/src/membership/messages.h
+++ b/src/membership/messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The messages of the membership protocol and their encoding (CBOR, arrays without keys, because
-/// control bytes count). See docs/design/MEMBERSHIP.md.
+/// The messages of the membership protocol and their encoding: CBOR arrays without keys, to keep
+/// the control traffic small. See docs/design/MEMBERSHIP.md.
 
 #include <cstdint>
 #include <optional>
@@ -16,32 +16,33 @@
 
 namespace coursepond::membership {
 
-/// Matches an answer to its question; chosen by the asker, wraps around.
+/// Matches a response to its request. Chosen by the requester; wraps around.
 using SequenceNumber = std::uint32_t;
 
-/// A hash of what a node believes of its zone. Equal tables have equal digests.
+/// Hash of a node's member table and zone reports. Equal tables have equal digests.
 using TableDigest = std::uint32_t;
 
-/// What a zone tells others of itself: how many nodes it has, and the few that others may call.
+/// Summary of a zone for other zones: its node count, and the few nodes that other zones may
+/// contact.
 struct ZoneSummary {
   ZoneId zone;
   std::uint64_t node_count = 0;
-  std::vector<Member> contacts;  ///< Its distributors and voters, sorted by id.
+  std::vector<Member> contacts;  ///< Distributors, voters and a spare of each, sorted by id.
   friend bool operator==(const ZoneSummary&, const ZoneSummary&) = default;
 };
 
-/// What one node tells its own zone of another zone. Reports of one reporter are ordered by
-/// (reporter_incarnation, sequence).
+/// Report of one node to its own zone about another zone. Reports by the same reporter are ordered
+/// by (reporter_incarnation, sequence).
 struct ZoneReport {
   NodeId reporter;
   Incarnation reporter_incarnation;
   std::uint64_t sequence = 0;
-  bool reachable = false;  ///< The reporter got answers from the zone within the timeout.
+  bool reachable = false;  ///< The zone answered the reporter within the reachability timeout.
   ZoneSummary summary;
   friend bool operator==(const ZoneReport&, const ZoneReport&) = default;
 };
 
-/// News that spread through a zone.
+/// Member claims and zone reports that are disseminated in a zone.
 struct Updates {
   std::vector<Member> members;
   std::vector<ZoneReport> reports;
@@ -49,7 +50,7 @@
   friend bool operator==(const Updates&, const Updates&) = default;
 };
 
-/// "Are you there?"
+/// Probes a member directly. Answered with an Ack.
 struct Ping {
   SequenceNumber sequence = 0;
   TableDigest table_digest = 0;
@@ -57,7 +58,7 @@
   friend bool operator==(const Ping&, const Ping&) = default;
 };
 
-/// Answers a Ping; also sent by a relay to the node that asked it with a PingRequest.
+/// Answers a Ping. A relay also sends it to the node whose PingRequest it has served.
 struct Ack {
   SequenceNumber sequence = 0;
   TableDigest table_digest = 0;
@@ -65,53 +66,55 @@
   friend bool operator==(const Ack&, const Ack&) = default;
 };
 
-/// "Probe the target for me, and acknowledge with my sequence number when it answers."
+/// Asks a relay to probe `target`, and to send an Ack with this sequence number if it answers.
 struct PingRequest {
   SequenceNumber sequence = 0;
   NodeId target;
   friend bool operator==(const PingRequest&, const PingRequest&) = default;
 };
 
-/// News, passed on to the neighbours in the zone.
+/// Updates for the neighbours in the zone. Not answered.
 struct Gossip {
   Updates updates;
   friend bool operator==(const Gossip&, const Gossip&) = default;
 };
 
-/// "I am here; tell me who is in our zone." Answered with TablePage messages or JoinDeferred.
+/// Asks a node of the same zone for its table, and announces the joiner. Answered with TablePage
+/// messages or JoinDeferred.
 struct JoinRequest {
   Member joiner;
   friend bool operator==(const JoinRequest&, const JoinRequest&) = default;
 };
 
-/// The handshake cap is used up: come back after this time.
+/// Defers a join because the handshake rate limit is reached. The joiner retries after
+/// `retry_after`.
 struct JoinDeferred {
   Duration retry_after{};
   friend bool operator==(const JoinDeferred&, const JoinDeferred&) = default;
 };
 
-/// "Our tables differ; send me yours."
+/// Requests a copy of the receiver's table. Answered with TablePage messages.
 struct SyncRequest {
   SequenceNumber sequence = 0;
   TableDigest table_digest = 0;
   friend bool operator==(const SyncRequest&, const SyncRequest&) = default;
 };
 
-/// A part of the sender's table, dead members included.
+/// One page of a copy of the sender's table, dead members included.
 struct TablePage {
-  SequenceNumber sequence = 0;  ///< Of the SyncRequest it answers; zero for a JoinRequest.
+  SequenceNumber sequence = 0;  ///< Of the answered SyncRequest; zero if there is none.
   Updates table;
   bool last = false;       ///< No further page follows.
-  bool send_back = false;  ///< On the last page: the receiver's table is wanted too.
+  bool send_back = false;  ///< On the last page: requests the receiver's table in return.
   friend bool operator==(const TablePage&, const TablePage&) = default;
 };
 
 /// A gateway's probe of another zone.
 struct ZoneProbe {
   SequenceNumber sequence = 0;
-  /// zoneSummaryDigest of what the sender holds of the receiver's zone; zero for nothing.
+  /// zoneSummaryDigest of the sender's summary of the receiver's zone; zero if it has none.
   TableDigest known_digest = 0;
-  /// The sender's own zone, while the receiver's zone is not known to be reachable.
+  /// Summary of the sender's zone. Set while the receiver's zone is not known to be reachable.
   std::optional<ZoneSummary> introduction;
   friend bool operator==(const ZoneProbe&, const ZoneProbe&) = default;
 };
@@ -120,20 +123,20 @@
 struct ZoneAnswer {
   SequenceNumber sequence = 0;
   ZoneId zone;
-  std::optional<ZoneSummary> summary;  ///< The sender's zone, when the known digest is outdated.
-  std::vector<ZoneSummary> others;     ///< Answer to an introduction: other zones known here.
+  std::optional<ZoneSummary> summary;  ///< The sender's zone; set if the known digest is stale.
+  std::vector<ZoneSummary> others;     ///< Other known zones, in answer to an introduction.
   friend bool operator==(const ZoneAnswer&, const ZoneAnswer&) = default;
 };
 
 using Message = std::variant<Ping, Ack, PingRequest, Gossip, JoinRequest, JoinDeferred, SyncRequest,
                              TablePage, ZoneProbe, ZoneAnswer>;
 
-/// A stable name of the message's type for counters: "ping".
+/// Returns the stable name of the message type, used in counters: "ping".
 std::string_view messageName(const Message& message);
 
 std::string encodeMessage(const Message& message);
 
-/// Reads what `encodeMessage` writes; kMalformed on anything else. Never throws.
+/// Decodes what `encodeMessage` writes. Returns kMalformed for anything else. Never throws.
 Result<Message> decodeMessage(std::string_view bytes);
 
 }  // namespace coursepond::membership
--- a/src/membership/prober.cpp
+++ b/src/membership/prober.cpp
@@ -8,7 +8,7 @@
 namespace coursepond::membership {
 namespace {
 
-/// Relayed probes that wait for an answer; a flood of requests can take no more memory than this.
+/// Maximum number of pending relayed probes. Bounds the memory that a flood of requests can use.
 constexpr std::size_t kMaximumRelays = 256;
 
 }  // namespace
@@ -33,7 +33,7 @@
 }
 
 void Prober::onPing(const NodeId& from, const Ping& ping) {
-  sender_.send(from, Ack{ping.sequence, callbacks_.table_digest(), callbacks_.news_for(from)});
+  sender_.send(from, Ack{ping.sequence, callbacks_.table_digest(), callbacks_.updates_for(from)});
 }
 
 bool Prober::onAck(const Ack& ack) {
@@ -54,7 +54,7 @@
   const SequenceNumber sequence = ++last_sequence_;
   relays_[sequence] = Relay{from, request.sequence, environment_.now()};
   sender_.send(request.target,
-               Ping{sequence, callbacks_.table_digest(), callbacks_.news_for(request.target)});
+               Ping{sequence, callbacks_.table_digest(), callbacks_.updates_for(request.target)});
 }
 
 void Prober::reset() {
@@ -68,7 +68,7 @@
   found->second.timer.start(settings_.probe_timeout,
                             [this, sequence] { probeThroughRelays(sequence); });
   ++statistics_.probes_sent;
-  sender_.send(target, Ping{sequence, callbacks_.table_digest(), callbacks_.news_for(target)});
+  sender_.send(target, Ping{sequence, callbacks_.table_digest(), callbacks_.updates_for(target)});
 }
 
 void Prober::probeThroughRelays(SequenceNumber sequence) {
@@ -111,7 +111,7 @@
 }
 
 std::vector<NodeId> Prober::relaysTo(const NodeId& target) {
-  // The target's own neighbours hold connections to it already.
+  // The target's ring neighbours already have connections to it.
   std::vector<NodeId> relays = table_.neighboursOf(target);
   const std::size_t count = std::min(settings_.indirect_probes, relays.size());
   for (std::size_t i = 0; i < count; ++i) {
@@ -123,7 +123,7 @@
 
 void Prober::forgetOldRelays() {
   const TimePoint limit = environment_.now() - settings_.probe_interval;
-  std::erase_if(relays_, [limit](const auto& entry) { return entry.second.asked < limit; });
+  std::erase_if(relays_, [limit](const auto& entry) { return entry.second.requested < limit; });
 }
 
 }  // namespace coursepond::membership
--- a/src/membership/prober.h
+++ b/src/membership/prober.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Failure detection inside the zone: one probe per interval, directly, then through relays.
+/// Failure detection inside the zone. Sends one probe per interval: first directly and, if that
+/// times out, through relays.
 
 #include <functional>
 #include <map>
@@ -18,12 +19,12 @@
 
 class Prober {
  public:
-  /// What the prober needs of the node it works for.
+  /// Callbacks into the membership of this node.
   struct Callbacks {
-    /// News to ride on a probe or an answer to this node.
-    std::function<Updates(const NodeId& to)> news_for;
+    /// Returns updates to piggyback on a probe or an ack to `to`.
+    std::function<Updates(const NodeId& to)> updates_for;
     std::function<TableDigest()> table_digest;
-    /// Neither the target nor a relay answered in time.
+    /// Called if neither the target nor a relay answered in time.
     std::function<void(const NodeId& target)> on_failure;
   };
 
@@ -32,14 +33,14 @@
 
   /// Probes the next target.
   void onTick();
-  /// Answers the sender.
+  /// Answers the sender with an Ack.
   void onPing(const NodeId& from, const Ping& ping);
-  /// Ends a probe, or passes an answer on to the node that asked for it. Returns true when it
-  /// answers a probe of this node.
+  /// Completes a probe of this node, or forwards the ack to the node that requested a relayed
+  /// probe. Returns true if the ack answers a probe of this node.
   bool onAck(const Ack& ack);
   void onPingRequest(const NodeId& from, const PingRequest& request);
 
-  /// Forgets all probes that wait for an answer.
+  /// Discards all pending probes, relayed ones included.
   void reset();
 
  private:
@@ -52,14 +53,15 @@
   };
   struct Relay {
     NodeId requester;
-    SequenceNumber sequence = 0;  ///< The requester's own.
-    TimePoint asked;
+    SequenceNumber sequence = 0;  ///< Sequence number of the PingRequest.
+    TimePoint requested;
   };
 
   void probe(const NodeId& target);
   void probeThroughRelays(SequenceNumber sequence);
   void fail(SequenceNumber sequence);
-  /// Gives the probe the same time again when this process was late itself.
+  /// Restarts the probe's timer if the timer fired late, because then this process was slow itself.
+  /// Returns false if the timer was on time or the extensions are used up.
   bool extend(Probe& probe, Duration time, std::function<void()> then) const;
   std::vector<NodeId> relaysTo(const NodeId& target);
   void forgetOldRelays();
--- a/src/membership/seed_book.cpp
+++ b/src/membership/seed_book.cpp
@@ -5,7 +5,8 @@
 namespace coursepond::membership {
 namespace {
 
-constexpr std::size_t kHeardLimit = 64;
+/// Maximum number of nodes kept from reports of other zones.
+constexpr std::size_t kMaxReportedNodes = 64;
 
 Member asMember(const model::ListedNode& node) {
   Member member;
@@ -30,7 +31,8 @@
       listed_[node.id] = asMember(node);
     }
   }
-  // A random choice, so that the nodes of a zone do not all call the same few of another.
+  // The choice is random, so that the nodes of a zone do not all contact the same few nodes of
+  // another zone.
   for (auto& [zone, listed] : other_zones) {
     for (std::size_t kept = 0; kept < kSeedsPerOtherZone && kept < listed.size(); ++kept) {
       std::swap(listed[kept], listed[kept + environment_.random(listed.size() - kept)]);
@@ -39,26 +41,26 @@
   }
 }
 
-void SeedBook::addHeard(const Member& member) {
+void SeedBook::addReported(const Member& member) {
   if (member.id == self_.id) {
     return;
   }
-  if (heard_.size() >= kHeardLimit && !heard_.contains(member.id)) {
-    heard_at_.erase(heard_.begin()->first);
-    heard_.erase(heard_.begin());
+  if (reported_.size() >= kMaxReportedNodes && !reported_.contains(member.id)) {
+    reported_at_.erase(reported_.begin()->first);
+    reported_.erase(reported_.begin());
   }
-  heard_at_[member.id] = environment_.now();
-  heard_[member.id] = member;
+  reported_at_[member.id] = environment_.now();
+  reported_[member.id] = member;
 }
 
-void SeedBook::forgetHeardBefore(TimePoint limit) {
-  std::erase_if(heard_, [&](const auto& entry) { return heard_at_.at(entry.first) < limit; });
-  std::erase_if(heard_at_, [&](const auto& entry) { return entry.second < limit; });
+void SeedBook::forgetReportedBefore(TimePoint limit) {
+  std::erase_if(reported_, [&](const auto& entry) { return reported_at_.at(entry.first) < limit; });
+  std::erase_if(reported_at_, [&](const auto& entry) { return entry.second < limit; });
 }
 
 std::vector<Member> SeedBook::nodesOf(const ZoneId& zone) const {
   std::vector<Member> nodes;
-  for (const Nodes* source : {&listed_, &heard_}) {
+  for (const Nodes* source : {&listed_, &reported_}) {
     for (const auto& [id, member] : *source) {
       if (member.zone == zone) {
         nodes.push_back(member);
@@ -69,7 +71,7 @@
 }
 
 const Member* SeedBook::find(const NodeId& id) const {
-  for (const Nodes* source : {&heard_, &listed_}) {
+  for (const Nodes* source : {&reported_, &listed_}) {
     const auto found = source->find(id);
     if (found != source->end()) {
       return &found->second;
--- a/src/membership/seed_book.h
+++ b/src/membership/seed_book.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Where nodes were said to be: by the platform's lagging list, or by other zones. Used to find
-/// peers when none is known by probing.
+/// Addresses of nodes from the platform's machine list (which lags behind) and from other zones.
+/// Used to find peers while none is known through probing.
 
 #include <map>
 #include <set>
@@ -15,28 +15,28 @@
 
 class SeedBook {
  public:
-  /// Of other zones only this many nodes each are kept.
+  /// Maximum number of listed nodes kept for each other zone.
   static constexpr std::size_t kSeedsPerOtherZone = 8;
 
   SeedBook(Member self, Environment& environment)
       : self_(std::move(self)), environment_(environment) {}
 
-  /// Replaces the platform's list.
+  /// Replaces the nodes of the platform's list.
   void setListed(const std::vector<model::ListedNode>& nodes);
-  /// Another zone, or a peer, told of this node.
-  void addHeard(const Member& member);
+  /// Adds a node that another zone reported.
+  void addReported(const Member& member);
 
-  /// Drops nodes that others last told of before `limit`.
-  void forgetHeardBefore(TimePoint limit);
+  /// Removes reported nodes whose last report is older than `limit`.
+  void forgetReportedBefore(TimePoint limit);
 
-  /// Every zone listed at present.
+  /// Returns all zones in the platform's current list.
   const std::set<ZoneId>& listedZones() const { return listed_zones_; }
-  /// Nodes of a zone, this one excluded.
+  /// Returns the known nodes of a zone, this node excluded.
   std::vector<Member> nodesOf(const ZoneId& zone) const;
-  /// Nothing when unknown.
+  /// Returns nullptr if the node is unknown.
   const Member* find(const NodeId& id) const;
-  /// True when another node is known of any zone.
-  bool knowsAnyone() const { return !listed_.empty() || !heard_.empty(); }
+  /// Returns true if a node other than this one is known, in any zone.
+  bool hasNodes() const { return !listed_.empty() || !reported_.empty(); }
 
  private:
   using Nodes = std::map<NodeId, Member>;
@@ -45,8 +45,8 @@
   Environment& environment_;
   std::set<ZoneId> listed_zones_;
   Nodes listed_;
-  Nodes heard_;  ///< Of bounded size.
-  std::map<NodeId, TimePoint> heard_at_;
+  Nodes reported_;  ///< At most kMaxReportedNodes.
+  std::map<NodeId, TimePoint> reported_at_;
 };
 
 }  // namespace coursepond::membership
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -7,57 +7,64 @@
 
 namespace coursepond::membership {
 
-/// Tunables of the membership protocol. The defaults are sized for 3,100 nodes in 17 zones; see
-/// docs/design/MEMBERSHIP.md for what each costs.
+/// Settings of the membership protocol. The defaults are sized for 3,100 nodes in 17 zones; see
+/// docs/design/MEMBERSHIP.md for the cost of each.
 struct Settings {
   // Probing inside the zone.
   Duration probe_interval = std::chrono::seconds(1);           ///< One probe is sent per interval.
-  Duration probe_timeout = std::chrono::milliseconds(300);     ///< Until indirect probes start.
-  Duration indirect_timeout = std::chrono::milliseconds(400);  ///< Until suspicion follows.
-  Duration suspicion_timeout = std::chrono::seconds(2);        ///< For refuting, before being dead.
+  Duration probe_timeout = std::chrono::milliseconds(300);     ///< Then relays are asked to probe.
+  Duration indirect_timeout = std::chrono::milliseconds(400);  ///< Then the target is suspected.
+  Duration suspicion_timeout = std::chrono::seconds(2);        ///< Then a suspect is declared dead.
   std::size_t indirect_probes = 3;  ///< Relays asked when a direct probe is not answered.
 
   // Dissemination.
-  Duration gossip_delay = std::chrono::milliseconds(200);  ///< Updates are gathered this long.
-  std::size_t max_updates_per_message = 32;                ///< Members in one Gossip message.
-  std::size_t max_piggybacked_updates = 6;                 ///< Members on one probe or answer.
-  std::size_t piggyback_transmissions = 3;  ///< Times an update rides on probes, after gossip.
-  std::size_t max_members_per_page = 64;    ///< Members in one TablePage message.
-  Duration sync_interval = std::chrono::seconds(5);  ///< Least time between two table copies asked.
-  std::size_t digest_mismatches_before_sync = 2;     ///< Differing digests in a row from one peer.
+  Duration gossip_delay = std::chrono::milliseconds(200);  ///< Updates are batched for this long.
+  std::size_t max_updates_per_message = 32;  ///< Maximum weight of a Gossip message, in members.
+  std::size_t max_piggybacked_updates = 6;   ///< Maximum members on one probe or ack.
+  std::size_t piggyback_transmissions = 3;   ///< Times an update is piggybacked after gossip.
+  std::size_t max_members_per_page = 64;     ///< Maximum members in one TablePage message.
+  Duration sync_interval = std::chrono::seconds(5);  ///< Minimum time between two sync requests.
+  std::size_t digest_mismatches_before_sync = 2;  ///< Consecutive differing digests from one peer.
 
-  // Joining and coming back.
-  Duration join_spread = std::chrono::milliseconds(500);   ///< First attempt: random within this.
-  Duration join_answer_timeout = std::chrono::seconds(1);  ///< Then another seed is asked.
+  // Joining and reconnecting.
+  /// Upper bound of the random delay before the first join attempt, and base of the join backoff.
+  Duration join_spread = std::chrono::milliseconds(500);
+  Duration join_answer_timeout = std::chrono::seconds(1);  ///< Then another seed is tried.
   Duration join_backoff_limit = std::chrono::seconds(10);  ///< Upper bound of the full jitter.
-  Duration join_timeout = std::chrono::seconds(5);         ///< Without any known peer: alone.
-  Duration join_timeout_unanswered = std::chrono::seconds(15);  ///< Peers listed, none answers.
-  double handshakes_per_second = 10;  ///< Joins and table copies served by one node.
-  double handshake_burst = 10;        ///< Of them at once.
-  Duration reconnect_interval = std::chrono::seconds(1);  ///< Calls to dead members; small zones.
-  Duration reconnect_interval_limit = std::chrono::seconds(15);  ///< The same in large zones.
-  Duration dead_retention = std::chrono::minutes(30);  ///< Dead members are remembered this long.
+  /// After this time a node that is alone and knows no peer counts as joined.
+  Duration join_timeout = std::chrono::seconds(5);
+  /// After this time a node counts as joined even if peers are listed, but none has answered.
+  Duration join_timeout_unanswered = std::chrono::seconds(15);
+  double handshakes_per_second = 10;  ///< Rate limit for joins and table copies served by a node.
+  double handshake_burst = 10;        ///< Burst size of that limit.
+  /// Mean interval of a node's join requests to unreachable peers, in small zones.
+  Duration reconnect_interval = std::chrono::seconds(1);
+  /// Upper bound of that mean interval, which grows with the zone.
+  Duration reconnect_interval_limit = std::chrono::seconds(15);
+  Duration dead_retention = std::chrono::minutes(30);  ///< Dead and left members are kept so long.
 
-  /// A life known for less than this was perhaps not meant when the list first says "leaving".
+  /// Upper bound for the lag of the platform's list. When a node is first listed as leaving and its
+  /// process has been known for less than this, the entry may mean an earlier process.
   Duration listing_lag = std::chrono::minutes(2);
 
   // Between zones.
-  Duration zone_probe_interval = std::chrono::seconds(2);   ///< Per zone and gateway.
-  Duration zone_probe_timeout = std::chrono::seconds(1);    ///< Then the next contact is asked.
-  Duration reachability_timeout = std::chrono::seconds(6);  ///< Silence until "unreachable".
-  Duration zone_report_interval = std::chrono::seconds(3);  ///< Least time between two reports.
-  Duration zone_count_report_interval =
-      std::chrono::seconds(10);  ///< The same when only the count of nodes changed.
-  Duration zone_forget_after =
-      std::chrono::hours(24);         ///< Unreachable and unlisted this long: forgotten.
-  std::size_t gateways_per_zone = 2;  ///< Nodes of a zone that probe one other zone.
+  Duration zone_probe_interval = std::chrono::seconds(2);  ///< Per zone and gateway.
+  Duration zone_probe_timeout = std::chrono::seconds(1);   ///< Then the next contact is probed.
+  /// A zone that has not answered for this long counts as unreachable.
+  Duration reachability_timeout = std::chrono::seconds(6);
+  Duration zone_report_interval = std::chrono::seconds(3);  ///< Minimum time between two reports.
+  /// The same if only the node count changed.
+  Duration zone_count_report_interval = std::chrono::seconds(10);
+  /// A zone that has been unreachable for this long and is not listed is removed.
+  Duration zone_forget_after = std::chrono::hours(24);
+  std::size_t gateways_per_zone = 2;  ///< Nodes of a zone that probe the same other zone.
 
-  /// A timer that fires this much too late makes this node give others more time, at most
-  /// max_extensions times per probe or suspicion: it was slow itself.
+  /// If a timer fires later than this, the node itself was slow, and it extends the timeout of the
+  /// probe or suspicion, at most max_extensions times each.
   Duration lateness_tolerance = std::chrono::milliseconds(100);
   std::size_t max_extensions = 3;
 
-  /// A timer that fires this much too late means that the process was paused.
+  /// If the probe tick is overdue by more than this, the process was paused.
   Duration pause_threshold = std::chrono::milliseconds(1500);
 };
 
--- a/src/membership/timer.h
+++ b/src/membership/timer.h
@@ -7,7 +7,7 @@
 
 namespace coursepond::membership {
 
-/// One callback at a time on an Environment; cancelled when the timer is destroyed.
+/// Schedules at most one callback on an Environment. The destructor cancels it.
 class Timer {
  public:
   explicit Timer(Environment& environment) : environment_(environment) {}
@@ -15,7 +15,7 @@
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
 
-  /// Replaces a callback that has not run yet.
+  /// Schedules `callback` and cancels a pending one.
   void start(Duration delay, std::function<void()> callback) {
     cancel();
     due_ = environment_.now() + delay;
@@ -33,8 +33,9 @@
 
   bool running() const { return id_ != 0; }
 
-  /// How much later than asked the callback runs, when called from inside it: this process got no
-  /// processor time, so that answers may well have come and not been read.
+  /// Returns how much later than scheduled the callback runs; to be called from inside the
+  /// callback. A late callback means that this process got no processor time, so that answers may
+  /// have arrived without being read.
   Duration lateness() const { return environment_.now() - due_; }
 
  private:
--- a/src/membership/token_bucket.h
+++ b/src/membership/token_bucket.h
@@ -6,13 +6,14 @@
 
 namespace coursepond::membership {
 
-/// Allows `rate` events per second, and `burst` of them at once after a quiet time.
+/// Token bucket that allows `rate` events per second on average and a burst of up to `burst`
+/// events.
 class TokenBucket {
  public:
   TokenBucket(double rate, double burst, TimePoint now)
       : rate_(rate), burst_(burst), tokens_(burst), updated_(now) {}
 
-  /// Takes one token if there is one.
+  /// Takes one token and returns true, or returns false if none is available.
   bool take(TimePoint now) {
     refill(now);
     if (tokens_ < 1) {
@@ -22,7 +23,7 @@
     return true;
   }
 
-  /// How long until a token will be there for each of `waiting` askers.
+  /// Returns the time until a token is available for each of `waiting` requesters.
   Duration delayFor(double waiting) const {
     const double seconds = std::max(0.0, waiting - tokens_) / rate_;
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
--- a/src/membership/view.cpp
+++ b/src/membership/view.cpp
@@ -7,7 +7,7 @@
 namespace coursepond::membership {
 namespace {
 
-/// Ids and zone names are hashed to a rank; the name itself breaks ties.
+/// Returns true if `left` ranks before `right`. Equal ranks are ordered by name.
 template <typename Name>
 bool ranksBefore(const Name& left, const Name& right, RankSalt salt) {
   const std::uint64_t left_rank = rankOf(stableHash(left.value()), salt);
@@ -15,19 +15,20 @@
   return left_rank != right_rank ? left_rank < right_rank : left < right;
 }
 
-bool isSteady(const Member& member) {
+bool isAliveAndStaying(const Member& member) {
   return member.state == MemberState::kAlive && !member.leaving;
 }
 
-/// Members that may hold a role: steady ones, else those not leaving, else all that live.
+/// Returns the members that may hold a role: those alive and not leaving; if there are none, the
+/// live ones that are not leaving; if there are none either, all live ones.
 std::vector<Member> roleCandidates(const std::vector<Member>& members) {
   std::vector<Member> candidates;
   const auto take = [&](auto accepts) {
     std::copy_if(members.begin(), members.end(), std::back_inserter(candidates), accepts);
     return !candidates.empty();
   };
-  take(isSteady) || take([](const Member& member) { return isLive(member) && !member.leaving; }) ||
-      take(isLive);
+  take(isAliveAndStaying) ||
+      take([](const Member& member) { return isLive(member) && !member.leaving; }) || take(isLive);
   return candidates;
 }
 
@@ -36,9 +37,9 @@
   const Member* member = nullptr;
 };
 
-/// In the order of a duty. Each name is hashed once: views are large, and roles are looked at
-/// often.
-std::vector<RankedMember> inOrder(const std::vector<Member>& members, RankSalt salt) {
+/// Returns the members sorted by rank. Hashes each name only once, because views are large and
+/// roles are computed often.
+std::vector<RankedMember> sortedByRank(const std::vector<Member>& members, RankSalt salt) {
   std::vector<RankedMember> ranked;
   ranked.reserve(members.size());
   for (const Member& member : members) {
@@ -52,7 +53,7 @@
 
 void keepBest(std::vector<Member>& members, std::size_t count, RankSalt salt) {
   std::vector<Member> best;
-  for (const RankedMember& ranked : inOrder(members, salt)) {
+  for (const RankedMember& ranked : sortedByRank(members, salt)) {
     if (best.size() == count) {
       break;
     }
@@ -76,7 +77,8 @@
                      [&](const Member& member) { return member.id == id; });
 }
 
-/// Reachable zones, best first for the reader role; the own zone counts as reachable.
+/// Returns the reachable zones, best-ranked for the reader role first. This node's zone counts as
+/// reachable.
 std::vector<const ZoneView*> readerZones(const View& view) {
   std::vector<const ZoneView*> zones;
   for (const auto& [id, zone] : view.zones) {
@@ -90,8 +92,8 @@
   return zones;
 }
 
-/// Readers of the own zone: suspects stay readers until they are dead, so that a false suspicion
-/// makes no third one.
+/// Returns the source readers of this node's zone. A suspect stays reader until it is dead, so that
+/// a false suspicion does not create a third reader.
 std::vector<Member> ownReaders(const ZoneView& own, std::size_t count) {
   std::vector<Member> candidates;
   std::copy_if(own.members.begin(), own.members.end(), std::back_inserter(candidates),
@@ -169,7 +171,7 @@
     }
   };
   for (std::size_t number = 0; number < kProbeRings; ++number) {
-    const std::vector<RankedMember> ring = inOrder(own->members, kRingSalt + number);
+    const std::vector<RankedMember> ring = sortedByRank(own->members, kRingSalt + number);
     const auto self = std::find_if(ring.begin(), ring.end(), [&](const RankedMember& ranked) {
       return ranked.member->id == view.self;
     });
--- a/src/membership/zone_directory.cpp
+++ b/src/membership/zone_directory.cpp
@@ -8,7 +8,8 @@
 namespace coursepond::membership {
 namespace {
 
-/// Reports of nodes that are no gateways are kept at least this long, while they still travel.
+/// Minimum time for which reports of nodes that are not gateways are kept, because they may still
+/// be spreading through the zone.
 constexpr Duration kOutdatedReportRetention = std::chrono::minutes(1);
 
 bool isNewer(const ZoneReport& left, const ZoneReport& right) {
@@ -38,7 +39,7 @@
   if (report.summary.zone == table_.self().zone) {
     return false;
   }
-  Zone& zone = known(report.summary.zone, now);
+  Zone& zone = findOrAddZone(report.summary.zone, now);
   const auto found = zone.reports.find(report.reporter);
   if (found != zone.reports.end() && !isNewer(report, found->second.report)) {
     return false;
@@ -52,7 +53,7 @@
 void ZoneDirectory::setConfigured(const std::set<ZoneId>& zones, TimePoint now) {
   for (const ZoneId& id : zones) {
     if (id != table_.self().zone) {
-      known(id, now).configured = true;
+      findOrAddZone(id, now).configured = true;
     }
   }
 }
@@ -63,7 +64,7 @@
   }
   for (const ZoneId& id : listed) {
     if (id != table_.self().zone) {
-      known(id, now).listed = true;
+      findOrAddZone(id, now).listed = true;
     }
   }
 }
@@ -105,8 +106,9 @@
   if (found == zones_.end()) {
     return nullptr;
   }
-  // A report with contacts beats one without; then a reachable zone's, then a gateway's, who saw
-  // the zone last; then the newest. Every node that holds the same reports chooses alike.
+  // Preference, in this order: a report with contacts, one of a live reporter that reaches the
+  // zone, one that says the zone is reachable, one of a gateway (it probed the zone most recently),
+  // one of a live reporter, the newest. Nodes with the same reports make the same choice.
   const auto quality = [&](const ZoneReport& report) {
     const bool live = table_.isLive(report.reporter);
     return std::make_tuple(!report.summary.contacts.empty(), live && report.reachable,
@@ -167,7 +169,7 @@
 std::vector<ZoneReport> ZoneDirectory::reports() const {
   std::vector<ZoneReport> all;
   for (const auto& [id, zone] : zones_) {
-    for (const ZoneReport* report : countingReports(id, zone)) {
+    for (const ZoneReport* report : effectiveReports(id, zone)) {
       all.push_back(*report);
     }
   }
@@ -177,7 +179,7 @@
 TableDigest ZoneDirectory::digest() const {
   std::uint64_t sum = 0;
   for (const auto& [id, zone] : zones_) {
-    for (const ZoneReport* report : countingReports(id, zone)) {
+    for (const ZoneReport* report : effectiveReports(id, zone)) {
       sum += reportHash(*report);
     }
   }
@@ -193,16 +195,16 @@
                      [&](const auto& entry) { return isGateway(entry.first, id); });
 }
 
-std::vector<const ZoneReport*> ZoneDirectory::countingReports(const ZoneId& id,
-                                                              const Zone& zone) const {
+std::vector<const ZoneReport*> ZoneDirectory::effectiveReports(const ZoneId& id,
+                                                               const Zone& zone) const {
   const bool gateways_only = hasGatewayReport(id, zone);
-  std::vector<const ZoneReport*> counting;
+  std::vector<const ZoneReport*> effective;
   for (const auto& [reporter, entry] : zone.reports) {
     if (gateways_only ? isGateway(reporter, id) : table_.isLive(reporter)) {
-      counting.push_back(&entry.report);
+      effective.push_back(&entry.report);
     }
   }
-  return counting;
+  return effective;
 }
 
 bool ZoneDirectory::provesReachable(const ZoneReport& report, TimePoint now) const {
@@ -212,7 +214,7 @@
   if (table_.isLive(report.reporter)) {
     return true;
   }
-  // A successor needs a moment to probe the zone itself.
+  // The report of a dead reporter stays valid for a while, until a successor has probed the zone.
   const std::optional<TimePoint> died = table_.changedAt(report.reporter);
   return died && now - *died < settings_.reachability_timeout;
 }
@@ -231,13 +233,13 @@
            !entry.second.report.reachable;
   });
   const std::size_t gone = std::erase_if(zone.reports, [&](const auto& entry) {
-    // The last report stays whatever became of its reporter: it says where the zone was.
+    // The last report is kept even if its reporter is gone: it holds the zone's known contacts.
     return zone.reports.size() > 1 && superseded && table_.find(entry.first) == nullptr;
   });
   version_ += dropped + gone;
 }
 
-ZoneDirectory::Zone& ZoneDirectory::known(const ZoneId& zone, TimePoint now) {
+ZoneDirectory::Zone& ZoneDirectory::findOrAddZone(const ZoneId& zone, TimePoint now) {
   const auto [found, added] = zones_.try_emplace(zone);
   if (added) {
     found->second.last_reachable = now;
--- a/src/membership/zone_directory.h
+++ b/src/membership/zone_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The other zones as this zone's gateways report them.
+/// Directory of the other zones, built from the reports of this zone's gateways.
 
 #include <map>
 #include <optional>
@@ -15,7 +15,8 @@
 
 namespace coursepond::membership {
 
-/// A hash of a zone's summary without the contacts' incarnations; zero only for "none".
+/// Returns a hash of a zone's summary without the contacts' incarnations. Never zero; zero stands
+/// for "no summary".
 TableDigest zoneSummaryDigest(const ZoneSummary& summary);
 
 class ZoneDirectory {
@@ -23,40 +24,43 @@
   ZoneDirectory(const MemberTable& table, const Settings& settings)
       : table_(table), settings_(settings) {}
 
-  /// Merges a report; the newest of each reporter counts. Returns true when it was news.
+  /// Merges a report. Only the newest report of each reporter is kept. Returns true if this report
+  /// is newer.
   bool merge(const ZoneReport& report, TimePoint now);
 
-  /// Zones that are never forgotten.
+  /// Adds zones that are never removed.
   void setConfigured(const std::set<ZoneId>& zones, TimePoint now);
-  /// The zones that the platform's list names at present.
+  /// Sets the zones that the platform's list currently names.
   void setListed(const std::set<ZoneId>& zones, TimePoint now);
 
-  /// Works out anew which zones are reachable: that changes with time, too.
+  /// Recomputes which zones are reachable. This also changes with time, without new reports.
   void refresh(TimePoint now);
-  /// Drops reports that count no more, and zones that are neither listed nor heard of.
+  /// Removes superseded reports, and zones that have been unreachable for long and are neither
+  /// listed nor configured.
   void forget(TimePoint now);
 
-  /// The other zones known here.
+  /// Returns the known other zones.
   std::vector<ZoneId> zones() const;
-  /// What the chosen report says of a zone: one of a reachable zone first, then the newest heard.
-  /// Nothing when no report ever came.
+  /// Returns the summary in the best report about a zone: one with contacts first, then one that
+  /// says the zone is reachable. Returns nullptr if there is no report.
   const ZoneSummary* summaryOf(const ZoneId& zone) const;
-  /// As of the last refresh.
+  /// Returns whether the zone was reachable at the last report or refresh.
   bool isReachable(const ZoneId& zone) const;
-  /// How many other live nodes report the zone as reachable.
+  /// Returns how many other live nodes report the zone as reachable.
   std::size_t otherReachableReports(const ZoneId& zone) const;
-  /// The newest report this or an earlier life of this node made.
+  /// Returns the newest report by this node, which may stem from an earlier process with its id.
   const ZoneReport* ownReport(const ZoneId& zone) const;
 
-  /// The other zones for the View.
+  /// Returns the other zones for the View.
   std::map<ZoneId, ZoneView> views() const;
 
-  /// Rises with every change of the reports, the known zones and their reachability.
+  /// Incremented with every change of the reports, the known zones or their reachability.
   std::uint64_t version() const { return version_; }
 
-  /// The reports that count: of each zone those of its gateways, or all while they have none.
+  /// Returns the effective reports: for each zone those of its gateways, or those of all live nodes
+  /// while no gateway has reported.
   std::vector<ZoneReport> reports() const;
-  /// A hash of them.
+  /// Returns a hash of the effective reports.
   TableDigest digest() const;
 
  private:
@@ -66,7 +70,7 @@
   };
   struct Zone {
     std::map<NodeId, ReportEntry> reports;
-    TimePoint last_reachable;  ///< Or when it became known here.
+    TimePoint last_reachable;  ///< Or, if it never was, when the zone became known.
     bool reachable = false;
     bool listed = false;
     bool configured = false;
@@ -74,11 +78,11 @@
 
   bool isGateway(const NodeId& node, const ZoneId& zone) const;
   bool hasGatewayReport(const ZoneId& id, const Zone& zone) const;
-  std::vector<const ZoneReport*> countingReports(const ZoneId& id, const Zone& zone) const;
+  std::vector<const ZoneReport*> effectiveReports(const ZoneId& id, const Zone& zone) const;
   bool provesReachable(const ZoneReport& report, TimePoint now) const;
   bool isReachable(const Zone& zone, TimePoint now) const;
   void dropOutdated(const ZoneId& id, Zone& zone, TimePoint now);
-  Zone& known(const ZoneId& zone, TimePoint now);
+  Zone& findOrAddZone(const ZoneId& zone, TimePoint now);
 
   const MemberTable& table_;
   const Settings& settings_;
--- a/src/membership/zone_gateway.cpp
+++ b/src/membership/zone_gateway.cpp
@@ -9,8 +9,8 @@
 namespace coursepond::membership {
 namespace {
 
-/// Incarnations are left out: a contact that refutes a suspicion in its own zone is none of another
-/// zone's business, and a report of it would go to every node of every zone.
+/// Ignores incarnations: a refuted suspicion in a contact's own zone is irrelevant to other zones,
+/// and a report about it would be sent to every node of every zone.
 bool sameContacts(const ZoneSummary& left, const ZoneSummary& right) {
   return std::equal(left.contacts.begin(), left.contacts.end(), right.contacts.begin(),
                     right.contacts.end(), [](const Member& one, const Member& other) {
@@ -41,8 +41,8 @@
 
 void ZoneGateway::onTick(const ZoneSummary& own) {
   for (const ZoneId& zone : directory_.zones()) {
-    if (!onDuty(zone)) {
-      withdraw(zone);
+    if (!isResponsibleFor(zone)) {
+      withdrawReport(zone);
       links_.erase(zone);
       continue;
     }
@@ -62,18 +62,19 @@
     answer.summary = own;
   }
   if (probe.introduction) {
-    answer.others = zonesToName(*probe.introduction, probe.known_digest == 0);
-    learn(*probe.introduction);
+    answer.others = zonesToIntroduce(*probe.introduction, probe.known_digest == 0);
+    recordSummary(*probe.introduction);
   }
   sender_.send(from, answer);
 }
 
-std::vector<ZoneSummary> ZoneGateway::zonesToName(const ZoneSummary& introduced,
-                                                  bool prober_is_new) const {
+std::vector<ZoneSummary> ZoneGateway::zonesToIntroduce(const ZoneSummary& introduced,
+                                                       bool prober_is_new) const {
   std::vector<ZoneSummary> named;
   for (const ZoneId& zone : directory_.zones()) {
     const ZoneSummary* summary = directory_.summaryOf(zone);
-    // A prober that knows this zone knows the mesh; but it may be one part of a split zone.
+    // A prober that already knows this zone also knows the other zones. Its own zone is sent
+    // anyway, because the prober may be in one part of a split zone.
     const bool other_part = zone == introduced.zone;
     if (summary != nullptr && (prober_is_new || other_part)) {
       named.push_back(*summary);
@@ -84,7 +85,7 @@
 
 bool ZoneGateway::onAnswer(const ZoneAnswer& answer) {
   for (const ZoneSummary& other : answer.others) {
-    learn(other);
+    recordSummary(other);
   }
   const auto found = links_.find(answer.zone);
   if (found == links_.end() || found->second.sequence != answer.sequence) {
@@ -102,8 +103,8 @@
 
 void ZoneGateway::onPause() {
   for (auto& [zone, link] : links_) {
-    link.answered = false;             // Probe again at the next tick.
-    link.sequence = ++last_sequence_;  // Answers from before the pause prove nothing.
+    link.answered = false;             // The next probe is due after zone_probe_timeout.
+    link.sequence = ++last_sequence_;  // Ignore answers to probes from before the pause.
     if (link.last_answer) {
       link.last_answer = environment_.now();
     }
@@ -114,30 +115,30 @@
   return table_.isBestFor(stableHash(zone.value()), settings_.gateways_per_zone, table_.self().id);
 }
 
-bool ZoneGateway::onDuty(const ZoneId& zone) const {
+bool ZoneGateway::isResponsibleFor(const ZoneId& zone) const {
   if (isGateway(zone)) {
     return true;
   }
-  // A former gateway goes on until a successor reaches the zone.
+  // A former gateway continues until another node reaches the zone.
   const ZoneReport* own = directory_.ownReport(zone);
   return own != nullptr && own->reachable && links_.contains(zone) &&
          directory_.otherReachableReports(zone) == 0;
 }
 
-bool ZoneGateway::answersLately(const Link& link) const {
+bool ZoneGateway::hasRecentAnswer(const Link& link) const {
   return link.last_answer &&
          environment_.now() - *link.last_answer < settings_.reachability_timeout;
 }
 
 std::vector<NodeId> ZoneGateway::targetsIn(const ZoneId& zone, const Link& link) const {
   std::vector<NodeId> targets;
-  for (const Member& contact : best(zone, link).contacts) {
+  for (const Member& contact : bestSummary(zone, link).contacts) {
     targets.push_back(contact.id);
   }
-  if (answersLately(link) && !targets.empty()) {
+  if (hasRecentAnswer(link) && !targets.empty()) {
     return targets;
   }
-  // The known contacts may all be gone: try the seeds too.
+  // All known contacts may be gone, so the seeds are tried as well.
   for (const Member& seed : seeds_.nodesOf(zone)) {
     if (std::find(targets.begin(), targets.end(), seed.id) == targets.end()) {
       targets.push_back(seed.id);
@@ -158,7 +159,7 @@
   ZoneProbe probe;
   probe.sequence = ++last_sequence_;
   probe.known_digest = link.summary ? zoneSummaryDigest(*link.summary) : 0;
-  if (!answersLately(link)) {
+  if (!hasRecentAnswer(link)) {
     probe.introduction = own;
   }
   link.last_probe = now;
@@ -169,17 +170,17 @@
 
 void ZoneGateway::reportWhenDue(const ZoneId& zone, Link& link) {
   const TimePoint now = environment_.now();
-  const bool reachable = answersLately(link);
+  const bool reachable = hasRecentAnswer(link);
   if (!reachable && !link.last_answer && now - link.created < settings_.reachability_timeout) {
-    return;  // Nothing can be said yet.
+    return;  // Too early to report the zone as unreachable.
   }
-  const ZoneSummary summary = best(zone, link);
+  const ZoneSummary summary = bestSummary(zone, link);
   const ZoneReport* last = directory_.ownReport(zone);
-  const bool current_life =
-      last != nullptr && isSameLife(last->reporter_incarnation, table_.self().incarnation);
+  const bool current_process =
+      last != nullptr && isSameProcess(last->reporter_incarnation, table_.self().incarnation);
   const Duration since = now - link.last_report;
   bool due = false;
-  if (last == nullptr || !current_life || last->reachable != reachable) {
+  if (last == nullptr || !current_process || last->reachable != reachable) {
     due = true;
   } else if (!sameContacts(last->summary, summary)) {
     due = since >= settings_.zone_report_interval;
@@ -192,7 +193,7 @@
   }
 }
 
-void ZoneGateway::withdraw(const ZoneId& zone) {
+void ZoneGateway::withdrawReport(const ZoneId& zone) {
   const ZoneReport* own = directory_.ownReport(zone);
   if (own != nullptr && own->reachable) {
     report(ZoneSummary(own->summary), false);
@@ -210,16 +211,16 @@
   publish_(report);
 }
 
-void ZoneGateway::learn(const ZoneSummary& summary) {
+void ZoneGateway::recordSummary(const ZoneSummary& summary) {
   for (const Member& contact : summary.contacts) {
-    seeds_.addHeard(contact);
+    seeds_.addReported(contact);
   }
   if (summary.zone == table_.self().zone || summary.contacts.empty()) {
     return;
   }
   const ZoneSummary* known = directory_.summaryOf(summary.zone);
-  // An introduction counts only when nothing better is known: every zone that grows from one node
-  // introduces itself many times.
+  // An introduction is published only if nothing better is known, because a zone that grows from
+  // one node introduces itself many times.
   const bool outdated = known == nullptr || known->contacts.empty() ||
                         (!directory_.isReachable(summary.zone) && !shareContact(*known, summary));
   if (outdated && !links_.contains(summary.zone)) {
@@ -227,7 +228,7 @@
   }
 }
 
-ZoneSummary ZoneGateway::best(const ZoneId& zone, const Link& link) const {
+ZoneSummary ZoneGateway::bestSummary(const ZoneId& zone, const Link& link) const {
   if (link.summary) {
     return *link.summary;
   }
--- a/tests/membership/codec_test.cpp
+++ b/tests/membership/codec_test.cpp
@@ -49,7 +49,7 @@
 
 }  // namespace
 
-TEST_CASE("every message is read back as it was written") {
+TEST_CASE("every message type survives encoding and decoding") {
   for (const Message& message : oneOfEach()) {
     const Result<Message> decoded = decodeMessage(encodeMessage(message));
     REQUIRE(decoded.has_value());
@@ -57,12 +57,12 @@
   }
 }
 
-TEST_CASE("probes without news stay small") {
+TEST_CASE("probes without updates stay small") {
   CHECK(encodeMessage(Ping{4'000'000'000, 0xffffffff, {}}).size() <= 12);
   CHECK(encodeMessage(ZoneProbe{4'000'000'000, 0xffffffff, {}}).size() <= 13);
 }
 
-TEST_CASE("truncated and extended messages are refused") {
+TEST_CASE("truncated and extended messages are rejected") {
   for (const Message& message : oneOfEach()) {
     const std::string bytes = encodeMessage(message);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -72,7 +72,7 @@
   }
 }
 
-TEST_CASE("random bytes and flipped bits never throw") {
+TEST_CASE("decoding random bytes and corrupted messages never throws") {
   std::mt19937 engine(20'261'202);
   for (int round = 0; round < 2'000; ++round) {
     std::string bytes(engine() % 64, '\0');
@@ -90,7 +90,7 @@
   }
 }
 
-TEST_CASE("deep nesting and lengths beyond the input are refused") {
+TEST_CASE("deep nesting and lengths beyond the input are rejected") {
   CHECK(isMalformed(std::string(1'000'000, '\x81')));
   CHECK(isMalformed(std::string("\x9b\xff\xff\xff\xff\xff\xff\xff\xfe", 9)));
   CHECK(isMalformed(std::string("\x9b\x00\x00\x00\x00\xff\xff\xff\xff", 9)));
--- a/tests/membership/cost_test.cpp
+++ b/tests/membership/cost_test.cpp
@@ -1,4 +1,4 @@
-/// What membership costs, and that it does not grow with the mesh.
+/// Tests that the network cost of membership per node is small and does not grow with the mesh.
 
 #include <doctest/doctest.h>
 
@@ -13,10 +13,10 @@
 
 struct Cost {
   double mean = 0;  ///< Encoded bytes sent per node and second.
-  double most = 0;  ///< The same of the node that sends most.
+  double most = 0;  ///< The same for the node that sends most.
 };
 
-/// One zone of each size, named zone10 and up.
+/// Starts a mesh with one zone of each given size, named zone10 and up.
 std::unique_ptr<Mesh> largeMesh(const std::vector<int>& zone_sizes) {
   auto mesh = std::make_unique<Mesh>(31);
   int number = 10;
@@ -52,7 +52,7 @@
   CHECK(large_cost.most < 1000);
 }
 
-TEST_CASE("a zone of the size planned for detects a failure within seconds and stays cheap") {
+TEST_CASE("a zone of the planned size detects a failure within seconds at a low network cost") {
   const auto mesh = largeMesh({182, 6});
   const Cost idle = costOver(*mesh, 1min);
   MESSAGE("182 and 6: mean B/s ", idle.mean, ", most ", idle.most);
@@ -69,13 +69,14 @@
     });
   };
   CHECK(mesh->holdsWithin(all_know, 8s));
-  MESSAGE("whole zone knows after ms: ", toMilliseconds(mesh->time.now() - crashed));
+  MESSAGE("detected by the whole zone after ms: ", toMilliseconds(mesh->time.now() - crashed));
   CHECK(mesh->convergeWithin(20s));
-  MESSAGE("other zone's count follows after ms: ", toMilliseconds(mesh->time.now() - crashed));
+  MESSAGE("node count updated in the other zone after ms: ",
+          toMilliseconds(mesh->time.now() - crashed));
   CHECK(mesh->viewOf(far).nodeCount() == 187);
 }
 
-TEST_CASE("a rack of a fifth of a zone lost at once is detected within seconds") {
+TEST_CASE("the simultaneous loss of a fifth of a zone is detected within seconds") {
   const auto mesh = largeMesh({100, 6});
   for (int number = 0; number < 20; ++number) {
     mesh->crash(mesh->listed[static_cast<std::size_t>(number)].id);
@@ -87,7 +88,7 @@
     return view.zones.at(view.own_zone).node_count == 80;
   };
   CHECK(mesh->holdsWithin(all_know, 15s));
-  MESSAGE("rack known lost after ms: ", toMilliseconds(mesh->time.now() - crashed));
+  MESSAGE("loss detected after ms: ", toMilliseconds(mesh->time.now() - crashed));
   CHECK(mesh->convergeWithin(30s));
   CHECK(mesh->deaths() > 0);
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration kDetectionLimit = 8s;
 
-/// Three zones of six nodes, started and converged.
+/// Starts three zones of `zone_size` nodes and waits until they have converged.
 std::unique_ptr<Mesh> startedMesh(std::uint64_t seed, int zone_size = 6,
                                   const Settings& settings = {}) {
   auto mesh = std::make_unique<Mesh>(seed, settings);
@@ -23,7 +23,7 @@
   }
   mesh->startAll();
   REQUIRE(mesh->convergeWithin(30s));
-  // The small mesh still asks peers that were unreachable at the start; let that settle.
+  // Nodes still send join requests to peers that were unreachable at the start; wait for these.
   mesh->time.runFor(15s);
   REQUIRE(mesh->converged());
   return mesh;
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("a mesh that starts at once converges and spreads its roles") {
+TEST_CASE("a mesh whose nodes all start at once converges and spreads its roles over the zones") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed);
     const std::vector<NodeId> readers = mesh->readers();
@@ -63,7 +63,7 @@
   CHECK(outside.nodeCount() == 18);
 }
 
-TEST_CASE("addresses are told before the first message to a node") {
+TEST_CASE("the observer gets the address of a node before the first message to it") {
   Mesh mesh(3);
   mesh.list("a", 4);
   mesh.list("b", 4);
@@ -74,7 +74,7 @@
   CHECK(mesh.convergeWithin(30s));
 }
 
-TEST_CASE("a crash is seen in every zone within seconds") {
+TEST_CASE("a crash is detected in every zone within seconds") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed);
     mesh->crash(nodeName("a", 2));
@@ -89,7 +89,7 @@
   }
 }
 
-TEST_CASE("a restart under the same id is taken up, also with a clock set back") {
+TEST_CASE("a restarted node with the same id rejoins, also if its clock was set back") {
   const auto mesh = startedMesh(7);
   const NodeId id = nodeName("a", 1);
   mesh->start(id);
@@ -101,7 +101,7 @@
   CHECK(mesh->nodes.at(id)->membership.statistics().refutations > 0);
 }
 
-TEST_CASE("a link cut between two nodes kills neither of them") {
+TEST_CASE("a broken link between two nodes does not make either of them count as dead") {
   const auto mesh = startedMesh(2);
   const NodeId left = nodeName("a", 0);
   const NodeId right = nodeName("a", 1);
@@ -113,7 +113,7 @@
   CHECK(mesh->converged());
 }
 
-TEST_CASE("lost, doubled and overtaking messages kill nobody") {
+TEST_CASE("lost, duplicated and reordered messages do not make any node count as dead") {
   const auto mesh = startedMesh(4);
   mesh->network().setFaults({5, 5, 2ms, 20ms});
   mesh->time.runFor(3min);
@@ -122,7 +122,7 @@
   CHECK(mesh->convergeWithin(10s));
 }
 
-TEST_CASE("a process that was paused has no role until peers answered") {
+TEST_CASE("a process that was paused has no role until peers have answered") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed);
     const NodeId reader = mesh->readers().front();
@@ -131,7 +131,7 @@
     mesh->time.runFor(10s);
     CHECK(mesh->viewOf(nodeName("a", 0)).nodeCount() <= 18);
     mesh->time.runFor(10s - 1ms);
-    // Before any of its timers ran: the roles are lost by the clock alone.
+    // No timer has run yet: the clock alone must end the roles.
     CHECK(paused.membership.roles() == Roles{});
     CHECK(mesh->readers().size() == kSourceReaders);
     CHECK(mesh->convergeWithin(10s));
@@ -144,10 +144,10 @@
   }
 }
 
-TEST_CASE("a process that gets too little processor time blames nobody") {
+TEST_CASE("a process that gets too little processor time declares no peer dead") {
   const auto mesh = startedMesh(21);
   MeshNode& slow = *mesh->nodes.at(nodeName("a", 0));
-  // Stops of 0.9 s, below the threshold of a pause, with short gaps.
+  // Pauses of 0.9 s, below the pause threshold, with short gaps between them.
   for (int round = 0; round < 60; ++round) {
     slow.environment.pauseFor(900ms);
     mesh->time.runFor(900ms + 50ms);
@@ -160,7 +160,7 @@
   CHECK(mesh->convergeWithin(10s));
 }
 
-TEST_CASE("a paused process that wakes cut off from everybody holds no role for a while") {
+TEST_CASE("a paused process that resumes while isolated holds no role at first") {
   const auto mesh = startedMesh(5);
   const NodeId reader = mesh->readers().front();
   MeshNode& paused = *mesh->nodes.at(reader);
@@ -179,7 +179,7 @@
   CHECK(mesh->convergeWithin(15s));
 }
 
-TEST_CASE("a zone that is cut off stays known, has one reader, and merges again by itself") {
+TEST_CASE("an isolated zone stays known, has one reader, and rejoins the mesh by itself") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed);
     mesh->cutZones({{"a", 1}, {"b", 2}, {"c", 2}});
@@ -203,7 +203,7 @@
   }
 }
 
-TEST_CASE("a zone that split in two merges again by itself") {
+TEST_CASE("a zone that was split in two merges again by itself") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed, 8);
     std::map<NodeId, int> groups;
@@ -218,7 +218,7 @@
   }
 }
 
-TEST_CASE("regions that lose each other are unreachable to each other only") {
+TEST_CASE("two zones that cannot reach each other stay reachable for the third zone") {
   const auto mesh = startedMesh(9);
   mesh->drop = [&](const NodeId& from, const NodeId& to, const Message&) {
     const std::set<std::string> ends{from.value().substr(0, 1), to.value().substr(0, 1)};
@@ -233,27 +233,27 @@
   CHECK(mesh->convergeWithin(10s));
 }
 
-TEST_CASE("half of all nodes die and return at once") {
+TEST_CASE("the mesh converges after half of all nodes crash and restart at once") {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     const auto mesh = startedMesh(seed);
-    std::vector<NodeId> herd;
+    std::vector<NodeId> crashed_nodes;
     for (const auto& [id, node] : mesh->nodes) {
-      if (herd.size() * 2 < mesh->listed.size()) {
-        herd.push_back(id);
+      if (crashed_nodes.size() * 2 < mesh->listed.size()) {
+        crashed_nodes.push_back(id);
       }
     }
-    for (const NodeId& id : herd) {
+    for (const NodeId& id : crashed_nodes) {
       mesh->crash(id);
     }
     mesh->time.runFor(10s);
-    for (const NodeId& id : herd) {
+    for (const NodeId& id : crashed_nodes) {
       mesh->start(id);
     }
     CHECK(mesh->convergeWithin(15s));
   }
 }
 
-TEST_CASE("a whole zone that returns comes back as a slope under the handshake cap") {
+TEST_CASE("the handshake rate limit spreads the joins of a zone that starts all at once") {
   Mesh mesh(11);
   mesh.list("a", 100);
   mesh.startAll();
@@ -268,7 +268,7 @@
   mesh.time.runFor(10s);
   CHECK(mesh.converged());
   const Settings settings;
-  // Answers that a table copy asked for in return come on top of the served handshakes.
+  // Table copies that were requested in return (send_back) are not rate limited.
   const double limit = 2 * (settings.handshakes_per_second + settings.handshake_burst);
   for (const auto& [id, seconds] : served) {
     for (const auto& [second, count] : seconds) {
@@ -277,7 +277,7 @@
   }
 }
 
-TEST_CASE("a node whose seed is overloaded is told when to come back") {
+TEST_CASE("a node is deferred with a retry time if its only seed is overloaded") {
   Mesh mesh(12);
   mesh.list("a", 60);
   const NodeId seed = nodeName("a", 0);
@@ -293,23 +293,24 @@
   CHECK(mesh.nodes.at(seed)->membership.statistics().joins_deferred > 0);
 }
 
-TEST_CASE("a new node finds the one living seed beside dead ones within seconds") {
+TEST_CASE("a new node finds the only live seed among dead ones within seconds") {
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     CAPTURE(seed);
     Mesh mesh(seed);
     mesh.list("a", 4);
     mesh.start(nodeName("a", 0));
     mesh.time.runFor(10s);
-    const NodeId newcomer = nodeName("a", 3);  // Its other seeds are dead.
-    mesh.start(newcomer);
+    const NodeId new_node = nodeName("a", 3);  // Its other seeds are dead.
+    mesh.start(new_node);
     const auto found = [&] {
-      return mesh.viewOf(newcomer).zones.at(ZoneId("a")).members.size() == 2;
+      return mesh.viewOf(new_node).zones.at(ZoneId("a")).members.size() == 2;
     };
     CHECK(mesh.time.runUntilTrue(found, 5500ms));
   }
 }
 
-TEST_CASE("all but one node lost, and everything lost") {
+TEST_CASE(
+    "the last remaining node becomes reader, and the mesh converges after all nodes restart") {
   const auto mesh = startedMesh(13);
   const NodeId last = nodeName("b", 4);
   for (const model::ListedNode& node : mesh->listed) {
@@ -325,7 +326,7 @@
   CHECK(mesh->convergeWithin(30s));
 }
 
-TEST_CASE("a first node alone takes part after the join timeout, and not before") {
+TEST_CASE("a first node alone counts as joined after the join timeout, and not before") {
   Mesh mesh(14);
   mesh.list("a", 1);
   MeshNode& node = mesh.start(nodeName("a", 0));
@@ -337,7 +338,7 @@
   CHECK(node.membership.roles() == Roles{true, true, true});
 }
 
-TEST_CASE("a node that leaves is gone at once and nobody suspects it") {
+TEST_CASE("a node that leaves is removed at once, and no node declares it dead") {
   const auto mesh = startedMesh(15);
   const NodeId id = nodeName("a", 3);
   mesh->nodes.at(id)->membership.leave();
@@ -349,7 +350,7 @@
   CHECK(mesh->convergeWithin(20s));
 }
 
-TEST_CASE("a refutation in one zone makes no report in another") {
+TEST_CASE("a refuted suspicion in one zone causes no report in another") {
   const auto mesh = startedMesh(22);
   const auto reports = [&] {
     std::uint64_t count = 0;
@@ -370,7 +371,8 @@
   CHECK(reports() == before);
 }
 
-TEST_CASE("a leaving mark costs the roles, sticks to the life, and a new life is free of it") {
+TEST_CASE(
+    "a leaving mark removes the roles, lasts as long as the process, and spares a new process") {
   const auto mesh = startedMesh(16);
   const NodeId id = mesh->readers().front();
   std::vector<model::ListedNode> list = mesh->listed;
@@ -379,18 +381,18 @@
       node.state = model::MachineState::kLeaving;
     }
   }
-  const auto tellEverybody = [&] {
+  const auto passListToAllNodes = [&] {
     for (const auto& [name, node] : mesh->nodes) {
       node->membership.addHints(list);
     }
   };
-  tellEverybody();
+  passListToAllNodes();
   mesh->time.runFor(15s);
   REQUIRE(mesh->nodes.at(id)->membership.find(id)->leaving);
   CHECK(mesh->nodes.at(id)->membership.roles() == Roles{});
   CHECK(mesh->nodes.at(id)->membership.find(id)->leaving);
   CHECK(mesh->readers().size() == kSourceReaders);
-  // A suspicion that it refutes does not wash the mark off.
+  // Refuting a suspicion does not clear the mark.
   const Incarnation marked = mesh->nodes.at(id)->membership.find(id)->incarnation;
   Member claim = *mesh->nodes.at(id)->membership.find(id);
   claim.state = MemberState::kSuspect;
@@ -398,17 +400,17 @@
   mesh->time.runFor(3s);
   CHECK(mesh->nodes.at(id)->membership.find(id)->incarnation > marked);
   CHECK(mesh->nodes.at(id)->membership.find(id)->leaving);
-  // The list lags behind the replacement.
+  // The list still says "leaving" after the new process has started.
   mesh->listed = list;
   mesh->start(id);
   mesh->time.runFor(5s);
-  tellEverybody();
+  passListToAllNodes();
   mesh->time.runFor(15s);
   CHECK_FALSE(mesh->nodes.at(id)->membership.find(id)->leaving);
   CHECK(mesh->nodes.at(id)->membership.roles().source_reader);
 }
 
-TEST_CASE("a late claim of a dead member's life does not bring it back") {
+TEST_CASE("a late claim that a dead member is alive does not bring it back") {
   Settings settings;
   settings.dead_retention = 5min;
   const auto mesh = startedMesh(17, 6, settings);
@@ -429,7 +431,7 @@
   CHECK(mesh->nodes.at(other)->membership.find(id) == nullptr);
 }
 
-TEST_CASE("a lost zone is forgotten only when it is unlisted and silent for long") {
+TEST_CASE("a lost zone is removed only after it is unlisted and has long been unreachable") {
   Settings settings;
   settings.zone_forget_after = 10min;
   const auto mesh = startedMesh(18, 6, settings);
@@ -448,7 +450,7 @@
   CHECK(mesh->viewOf(nodeName("b", 5)).zones.size() == 2);
 }
 
-TEST_CASE("a configured zone counts before it was ever heard of") {
+TEST_CASE("a configured zone is known before any node of it is") {
   Mesh mesh(19);
   mesh.list("a", 3);
   mesh.startAll();
@@ -461,7 +463,7 @@
   CHECK(mesh.readers().size() == 1);
 }
 
-TEST_CASE("two zones whose seeds name only one node of the other find each other whole") {
+TEST_CASE("two zones converge if their seeds include only one node of the other zone") {
   Mesh mesh(20);
   mesh.list("a", 5);
   mesh.list("b", 5);
--- a/tests/membership/mesh.h
+++ b/tests/membership/mesh.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A mesh of membership nodes on a virtual network, with the faults the tests bring about.
+/// A simulated mesh of membership nodes on a virtual network, with fault injection.
 
 #include <algorithm>
 #include <map>
@@ -17,7 +17,7 @@
   return NodeId(zone + "-" + std::to_string(1000 + number));
 }
 
-/// One life of one node.
+/// One process of a node.
 class MeshNode final : public MembershipObserver {
  public:
   MeshNode(testing::VirtualTime& time, testing::VirtualNetwork<Message>& network, Member self,
@@ -71,7 +71,7 @@
     }
   }
 
-  /// Starts a life of a listed node; ends the earlier one without a word.
+  /// Starts a process of a listed node. A process already running under this id crashes.
   MeshNode& start(const NodeId& id) {
     const auto node = std::find_if(listed.begin(), listed.end(),
                                    [&](const auto& entry) { return entry.id == id; });
@@ -79,9 +79,9 @@
         static_cast<std::uint64_t>(toMilliseconds(time.now().time_since_epoch()) + clock_error);
     Member self{id, node->zone, node->peer_address, Incarnation(incarnation)};
     crash(id);
-    auto life = std::make_unique<MeshNode>(time, network_, self, settings_, ++seed_);
-    MeshNode& started = *life;
-    nodes[id] = std::move(life);
+    auto process = std::make_unique<MeshNode>(time, network_, self, settings_, ++seed_);
+    MeshNode& started = *process;
+    nodes[id] = std::move(process);
     started.membership.addHints(listed);
     started.membership.start();
     return started;
@@ -98,7 +98,7 @@
     nodes.erase(id);
   }
 
-  /// No message passes between the groups any more; nodes of no group hear everybody.
+  /// Drops all messages between different groups. Nodes without a group can reach all nodes.
   void cut(std::map<NodeId, int> groups) { groups_ = std::move(groups); }
   void cutZones(const std::map<std::string, int>& groups) {
     groups_.clear();
@@ -113,7 +113,7 @@
 
   const View& viewOf(const NodeId& id) const { return nodes.at(id)->membership.view(); }
 
-  /// Every running node sees exactly the running nodes, and every zone as reachable.
+  /// Returns true if every running node sees exactly the running nodes, and all zones as reachable.
   bool converged() const {
     std::map<ZoneId, std::vector<NodeId>> running;
     for (const auto& [id, node] : nodes) {
@@ -124,7 +124,8 @@
     });
   }
 
-  /// Looks every 100 ms whether `condition` holds; a look after each event would take long.
+  /// Runs until `condition` holds or `limit` has passed, and returns whether it holds. Checks only
+  /// every 100 ms, because a check after each event would take too long.
   bool holdsWithin(const std::function<bool()>& condition, Duration limit) {
     constexpr Duration kStep = std::chrono::milliseconds(100);
     for (Duration waited{}; waited < limit; waited += kStep) {
@@ -158,7 +159,7 @@
     return deaths;
   }
 
-  /// Bytes of messages sent so far, of all nodes.
+  /// Returns the encoded bytes sent by all nodes since the reset.
   std::uint64_t bytesSent() const {
     std::uint64_t total = 0;
     for (const auto& [id, bytes] : bytes_) {
@@ -177,7 +178,7 @@
     bytes_.clear();
     messages_.clear();
   }
-  /// Messages sent since the reset, by kind.
+  /// Returns the number of messages sent since the reset, by type.
   const std::map<std::string, std::uint64_t>& messages() const { return messages_; }
 
   testing::VirtualTime time;
@@ -185,7 +186,7 @@
   std::map<NodeId, std::unique_ptr<MeshNode>> nodes;
   std::function<bool(const NodeId&, const NodeId&, const Message&)> drop;
   std::function<void(const NodeId&, const NodeId&, const Message&)> inspect;
-  std::int64_t clock_error = 0;  ///< Milliseconds added to the incarnation of new lives.
+  std::int64_t clock_error = 0;  ///< Milliseconds added to the incarnations of new processes.
   testing::VirtualNetwork<Message>& network() { return network_; }
 
  private:
--- a/tests/membership/properties_test.cpp
+++ b/tests/membership/properties_test.cpp
@@ -1,4 +1,4 @@
-/// Properties over random input: the order of claims, and the roles of any view.
+/// Property tests with random input: merging of claims in any order, and roles under any view.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -13,10 +13,11 @@
 namespace coursepond::membership {
 namespace {
 
-/// The same cases in every run; RC_PARAMS in the environment overrides it.
+/// Fixes the seed, so that every run tests the same cases. RC_PARAMS in the environment overrides
+/// it.
 const bool kSeedFixed = setenv("RC_PARAMS", "seed=20261202", 0) == 0;
 
-/// Few enough values that claims collide in every way.
+/// Generates claims from a small range of values, so that all kinds of conflicts occur.
 rc::Gen<Member> claimOf(const NodeId& id) {
   return rc::gen::map(rc::gen::tuple(rc::gen::inRange(1, 4), rc::gen::inRange(0, 4),
                                      rc::gen::arbitrary<bool>(), rc::gen::inRange(1, 3)),
@@ -38,7 +39,7 @@
                 Incarnation(1), MemberState::kAlive, false};
 }
 
-/// A connected mesh: zone "z0" has nodes n0.., zone "z1" n100.. and so on.
+/// Generates a connected mesh: zone "z0" has nodes n0, n1, ..., zone "z1" has n100, n101, ...
 std::map<ZoneId, std::vector<Member>> randomMesh() {
   std::map<ZoneId, std::vector<Member>> mesh;
   const int zones = *rc::gen::inRange(1, 7);
@@ -94,7 +95,7 @@
   });
 }
 
-TEST_CASE("tables agree after the same claims in any order, doubled or not") {
+TEST_CASE("tables agree after the same claims in any order, with or without duplicates") {
   check("order", [] {
     std::vector<Member> claims;
     for (int node = 1; node < 4; ++node) {
@@ -124,7 +125,7 @@
   });
 }
 
-TEST_CASE("a connected mesh has at most two readers, a divided one at most one per part") {
+TEST_CASE("a connected mesh has at most two readers, a partitioned one at most one per part") {
   check("readers", [] {
     const auto mesh = randomMesh();
     std::set<ZoneId> cut_off;
@@ -157,7 +158,7 @@
   });
 }
 
-TEST_CASE("every zone has its distributors and voters, and all of it agrees who they are") {
+TEST_CASE("every zone has its distributors and voters, and all its nodes agree on them") {
   check("zone roles", [] {
     const auto mesh = randomMesh();
     for (const auto& [id, members] : mesh) {
@@ -174,7 +175,7 @@
   });
 }
 
-TEST_CASE("the neighbours computed from a view are those that the table probes and gossips with") {
+TEST_CASE("the neighbours computed from a view are the table's ring neighbours") {
   check("neighbours", [] {
     const auto mesh = randomMesh();
     for (const auto& [id, members] : mesh) {
@@ -196,7 +197,7 @@
   });
 }
 
-TEST_CASE("a suspected reader makes no third one, and a leaving node holds no role") {
+TEST_CASE("suspecting a reader does not create a third one, and a leaving node holds no role") {
   std::map<ZoneId, std::vector<Member>> mesh;
   for (int number = 0; number < 6; ++number) {
     mesh[ZoneId("z0")].push_back(aliveMember(number, "z0"));
