--- a/src/core/address.h
+++ b/src/core/address.h
@@ -9,7 +9,7 @@
 
 namespace coursepond {
 
-/// Where a process listens: an IP number (never a host name) and a TCP port.
+/// Address on which a process listens: an IP address (never a host name) and a TCP port.
 struct Address {
   std::string host;
   std::uint16_t port = 0;
@@ -20,7 +20,7 @@
 /// "127.0.0.1:8080", or "[::1]:8080" for IPv6.
 std::string formatAddress(const Address& address);
 
-/// Reads what `formatAddress` writes. Fails with kInvalidArgument on anything else.
+/// Parses what `formatAddress` writes. Returns kInvalidArgument for anything else.
 Result<Address> parseAddress(std::string_view text);
 
 }  // namespace coursepond
--- a/src/core/ascii.h
+++ b/src/core/ascii.h
@@ -1,15 +1,15 @@
 #pragma once
 
-/// Comparison of names as protocols write them: ASCII only, whatever the locale.
+/// Case-insensitive comparison of protocol names. ASCII only and independent of the locale.
 
 #include <string_view>
 
 namespace coursepond {
 
-/// Equal but for the case of ASCII letters.
+/// Returns true if the texts are equal, ignoring the case of ASCII letters.
 bool equalsIgnoringCase(std::string_view left, std::string_view right);
 
-/// `text` begins with `prefix`, but for the case of ASCII letters.
+/// Returns true if `text` starts with `prefix`, ignoring the case of ASCII letters.
 inline bool startsWithIgnoringCase(std::string_view text, std::string_view prefix) {
   return equalsIgnoringCase(text.substr(0, prefix.size()), prefix);
 }
--- a/src/core/chance.h
+++ b/src/core/chance.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Decisions by chance.
+/// Random decisions.
 
 #include "core/environment.h"
 
 namespace coursepond {
 
-/// True with this probability; draws one number of the environment.
+/// Returns true with the given probability. Draws one random number from the environment.
 inline bool happens(Environment& environment, double probability) {
   constexpr std::uint64_t kSteps = 1U << 20U;
   const auto step = static_cast<double>(environment.random(kSteps));
--- a/src/core/digest.cpp
+++ b/src/core/digest.cpp
@@ -25,7 +25,8 @@
   try {
     boost::algorithm::unhex(text.begin(), text.end(), std::back_inserter(raw));
   } catch (const boost::algorithm::hex_decode_error&) {
-    return Error{ErrorKind::kMalformed, "a digest holds a character that is no hex digit", kRemedy};
+    return Error{ErrorKind::kMalformed,
+                 "a digest contains a character that is not a hexadecimal digit", kRemedy};
   }
   return fromBytes(raw);
 }
--- a/src/core/digest.h
+++ b/src/core/digest.h
@@ -12,26 +12,26 @@
 
 namespace coursepond {
 
-/// A SHA-256 digest. All zero means "none".
+/// A SHA-256 digest. All bytes zero means "no digest".
 class Digest {
  public:
   static constexpr std::size_t kSize = 32;
 
   Digest() = default;
 
-  /// The digest of `bytes`.
+  /// Returns the digest of `bytes`.
   static Digest of(std::string_view bytes);
-  /// Reads 64 hexadecimal digits; kMalformed on anything else.
+  /// Parses 64 hexadecimal digits. Returns kMalformed for anything else.
   static Result<Digest> fromHex(std::string_view text);
-  /// Takes 32 raw bytes; kMalformed on any other length.
+  /// Takes 32 raw bytes. Returns kMalformed for any other length.
   static Result<Digest> fromBytes(std::string_view bytes);
 
   std::string toHex() const;
-  /// The 32 raw bytes, as sent between peers.
+  /// Returns the 32 raw bytes, as sent between peers.
   std::string bytes() const;
   bool empty() const { return *this == Digest(); }
-  /// Takes as long whether they differ early, late or not at all: for digests of credentials, whose
-  /// bytes nobody shall be able to guess one after the other.
+  /// Compares in constant time. Used for digests of credentials, so that a timing attack cannot
+  /// guess them byte by byte.
   bool equalsInConstantTime(const Digest& other) const;
 
   friend auto operator<=>(const Digest&, const Digest&) = default;
@@ -43,7 +43,7 @@
 
 }  // namespace coursepond
 
-/// Digests are evenly distributed: their first bytes are as good a hash as any.
+/// Uses the first bytes as the hash, because digests are uniformly distributed.
 template <>
 struct std::hash<coursepond::Digest> {
   std::size_t operator()(const coursepond::Digest& digest) const noexcept {
--- a/src/core/environment.h
+++ b/src/core/environment.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// What a decision class may ask of the world. Two implementations: runtime::AsioEnvironment in
-/// the real process, and the simulator's virtual clock. Decision classes run on one thread and
-/// are never re-entered from inside a call to the Environment.
+/// Interfaces of a decision class to the outside: time, timers, random numbers and sending
+/// messages. The Environment is implemented by runtime::AsioEnvironment in the real process and by
+/// the simulator's virtual clock. Decision classes run on one thread and are never re-entered from
+/// inside a call to the Environment.
 
 #include <cstdint>
 #include <functional>
@@ -19,21 +20,21 @@
  public:
   virtual ~Environment() = default;
 
-  /// The monotonic time of this process.
+  /// Returns the monotonic time of this process.
   virtual TimePoint now() const = 0;
 
-  /// Runs `callback` once, not before `delay` from now (later if the process was paused).
+  /// Runs `callback` once, no earlier than `delay` from now; later if the process was paused.
   virtual TimerId schedule(Duration delay, std::function<void()> callback) = 0;
 
-  /// The callback will not run. Unknown and fired ids are ignored.
+  /// Cancels a scheduled callback. Ids that are unknown or have fired are ignored.
   virtual void cancel(TimerId timer) = 0;
 
-  /// A uniformly distributed number in [0, bound). `bound` must be above zero.
+  /// Returns a uniformly distributed number in [0, bound). `bound` must be above zero.
   virtual std::uint64_t random(std::uint64_t bound) = 0;
 };
 
-/// Sends messages of one protocol to other nodes. Never blocks and never reports: a message may
-/// be lost, delayed, doubled or overtaken, and every protocol must live with that.
+/// Sends messages of one protocol to other nodes. Never blocks and never reports errors. A message
+/// may be lost, delayed, duplicated or reordered, and every protocol must tolerate that.
 template <typename Message>
 class MessageSender {
  public:
--- a/src/core/error.h
+++ b/src/core/error.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Typed errors. Every error has a kind (which code branches on and counters count), a message
-/// (what is wrong) and a remedy (what the reader can do about it).
+/// Typed errors. Every error has a kind (for branches in code and for counters), a message (what is
+/// wrong) and a remedy (what the user can do about it).
 
 #include <boost/system/result.hpp>
 #include <string>
@@ -10,43 +10,44 @@
 
 namespace coursepond {
 
-/// Why something was refused or failed. Also a std::error_code through make_error_code.
+/// The reason for a refusal or failure. Converts to std::error_code through make_error_code.
 enum class ErrorKind {
   kInvalidArgument = 1,  ///< The request or document itself is wrong.
-  kMissingDependency,    ///< A route names a service or secret that is not there.
-  kDigestMismatch,       ///< Content differs from what the acceptance record names.
-  kVersionRegression,    ///< Older than what is already held.
-  kBaseMismatch,         ///< A delta or a plan starts from another version than is held.
+  kMissingDependency,    ///< A route refers to a service or secret that does not exist.
+  kDigestMismatch,       ///< Content does not match the digest in the acceptance record.
+  kVersionRegression,    ///< Older than the version already held.
+  kBaseMismatch,         ///< A delta or a plan is based on another version than the one held.
   kNotFound,             ///< No such plan, version, route or key.
   kConflict,             ///< Another operator's plan is being confirmed.
-  kNoQuorum,             ///< Too few zones can be reached to confirm.
+  kNoQuorum,             ///< Too few zones are reachable to confirm.
   kOutcomeUnknown,       ///< It may or may not have taken effect; the remedy says how to find out.
-  kUnavailable,          ///< A peer or the platform does not answer.
-  kTooLarge,             ///< Over a limit that a setting names.
-  kMalformed,            ///< Bytes that are not a message of this protocol.
+  kUnavailable,          ///< A peer or the platform does not respond.
+  kTooLarge,             ///< Exceeds a limit from the settings.
+  kMalformed,            ///< The bytes are not a message of this protocol.
   kUnauthorized,         ///< The bearer token is missing or wrong.
-  kOverloaded,           ///< Refused now; try again later.
+  kOverloaded,           ///< Refused because of overload; retry later.
   kTimeout,              ///< The deadline passed.
 };
 
-/// The kind's stable name, as in logs, metrics and API answers: "missing_dependency".
+/// Returns the stable name of the kind, used in logs, metrics and API responses:
+/// "missing_dependency".
 std::string_view kindName(ErrorKind kind);
 
-/// The category of all ErrorKind codes.
+/// Returns the category of all ErrorKind codes.
 const std::error_category& errorCategory();
 
 std::error_code make_error_code(ErrorKind kind);
 
-/// One failure, told so that its reader can act on it.
+/// Describes one failure and what the user can do about it.
 struct Error {
   ErrorKind kind = ErrorKind::kInvalidArgument;
-  std::string message;  ///< What is wrong, with the value and the place.
+  std::string message;  ///< What is wrong, including the offending value and where it was found.
   std::string remedy;   ///< What to do about it.
 
   std::error_code code() const { return make_error_code(kind); }
 };
 
-/// "missing_dependency: route 'x' needs secret 'y' (remedy: add it to secrets)".
+/// Formats an error: "missing_dependency: route 'x' needs secret 'y' (remedy: add it to secrets)".
 std::string describe(const Error& error);
 
 /// Called by Result::value() on an error: throws std::system_error with the error's code.
--- a/src/core/http_headers.h
+++ b/src/core/http_headers.h
@@ -1,42 +1,44 @@
 #pragma once
 
-/// The HTTP headers coursepond's data path gives a meaning to, towards callers and back ends.
+/// Names of the HTTP headers that coursepond's data path uses towards callers and back ends.
 
 namespace coursepond::http_headers {
 
-/// A caller's own id of a request; passed through, made up when absent, and echoed.
+/// From a caller: its id of the request. Passed through and echoed; generated if absent.
 inline constexpr char kRequestId[] = "X-Request-Id";
-/// Milliseconds the caller will still wait, a decimal number. Shrinks at every hop.
+/// Remaining milliseconds until the caller's deadline, a decimal number. Reduced at every hop.
 inline constexpr char kDeadlineMs[] = "X-Deadline-Ms";
 /// "interactive" (default) or "batch". Batch is shed first.
 inline constexpr char kPriority[] = "X-Priority";
-/// On a refusal or failure: "not-run" (surely did not run) or "unknown" (may have run).
+/// On a refusal or failure: "not-run" (the request certainly did not run) or "unknown" (it may have
+/// run).
 inline constexpr char kOutcome[] = "X-Outcome";
 inline constexpr char kOutcomeNotRun[] = "not-run";
 inline constexpr char kOutcomeUnknown[] = "unknown";
-/// Why the node refused or failed a request: a stable word, such as "no_route" or "queue_full".
+/// Why the node refused or failed a request: a stable identifier such as "no_route" or
+/// "queue_full".
 inline constexpr char kReason[] = "X-Reason";
 /// From a back end: "1" while it is leaving and takes no new work.
 inline constexpr char kDraining[] = "X-Draining";
-/// From a back end: its load, "busy/slots", for example "3/20". May lag or lie.
+/// From a back end: its load as "busy/slots", for example "3/20". May be stale or wrong.
 inline constexpr char kLoad[] = "X-Load";
-/// Towards a back end: which attempt of the request this is, from 1.
+/// Towards a back end: number of the attempt of this request, counted from 1.
 inline constexpr char kAttempt[] = "X-Attempt";
-/// On every answer of a node: the configuration version the request was served under.
+/// On every response of a node: the configuration version under which the request was served.
 inline constexpr char kConfigurationVersion[] = "X-Configuration-Version";
 /// From a back end: it did not run the request.
 inline constexpr char kNotRun[] = "X-Not-Run";
 /// Towards a back end: the only instance that may run the request.
 inline constexpr char kTargetInstance[] = "X-Target-Instance";
-/// Towards a back end: the service whose machine the request began on.
+/// Towards a back end: the service on whose machine the request originated.
 inline constexpr char kCallerService[] = "X-Caller-Service";
-/// From a caller: the API key of its tenant. Ends at the node that takes the request in.
+/// From a caller: the API key of its tenant. Removed by the node that receives the request.
 inline constexpr char kApiKey[] = "X-Api-Key";
-/// Towards a back end: the tenant whose request it is.
+/// Towards a back end: the tenant to which the request belongs.
 inline constexpr char kTenant[] = "X-Tenant";
-/// From a back end: its instance.
+/// From a back end: its instance id.
 inline constexpr char kInstance[] = "X-Instance-Id";
-/// From a back end, where it tells its health: for how many more milliseconds it is cold.
+/// From a back end, in its health response: for how many more milliseconds it is cold.
 inline constexpr char kColdLeftMs[] = "X-Cold-Left-Ms";
 /// From an egress to an ingress: "service,rank,target latency in ms,repeatable 0|1,
 /// call 0|1,share of a repeat in thousandths,may wait 0|1,fingerprint in hexadecimal digits,
--- a/src/core/ids.h
+++ b/src/core/ids.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Names and numbers that must not be mixed up with one another, each as a type of its own.
+/// Strong types for names and numbers that must not be confused with each other.
 
 #include <compare>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace coursepond {
 
-/// A name whose kind is part of its type. `Tag` only tells the kinds apart.
+/// A name whose kind is part of its type. `Tag` only distinguishes the kinds.
 template <typename Tag>
 class Name {
  public:
@@ -30,18 +30,19 @@
   std::string value_;
 };
 
-/// A machine's node, unique in the mesh. A replacement machine has a new id or a new incarnation.
+/// The node on a machine, unique in the mesh. A replacement machine has a new id or a new
+/// incarnation.
 using NodeId = Name<struct NodeIdTag>;
-/// A zone: machines that are cut off together.
+/// A zone: a group of machines that a network partition separates together.
 using ZoneId = Name<struct ZoneIdTag>;
-/// Zones whose data may stay together; see Route::regions.
+/// A region: a group of zones within which data may be shared; see Route::regions.
 using RegionId = Name<struct RegionIdTag>;
 /// One server of a service, unique in the mesh.
 using EndpointId = Name<struct EndpointIdTag>;
 using ServiceName = Name<struct ServiceNameTag>;
 using RouteName = Name<struct RouteNameTag>;
 using SecretName = Name<struct SecretNameTag>;
-/// A customer of the mesh, told by the API key of its requests.
+/// A customer of the mesh, identified by the API key of its requests.
 using TenantName = Name<struct TenantNameTag>;
 /// A plan, unique in the mesh.
 using PlanId = Name<struct PlanIdTag>;
@@ -65,13 +66,14 @@
   std::uint64_t value_ = 0;
 };
 
-/// The number of a configuration the platform published. Higher is newer.
+/// The number of a configuration that the platform has published. Higher is newer.
 using Version = Number<struct VersionTag>;
-/// The age of an endpoint record or a machine list; higher is newer. Given out by the platform.
+/// The generation of an endpoint record or a machine list, assigned by the platform. Higher is
+/// newer.
 using Generation = Number<struct GenerationTag>;
 /// Counts how often a watched source was restored from a copy of its data. Higher is newer.
 using Era = Number<struct EraTag>;
-/// Counts the lives of one node id, and its refutations of being suspected. Higher is newer.
+/// Increases with every new process of a node id and every suspicion it refutes. Higher is newer.
 using Incarnation = Number<struct IncarnationTag>;
 
 }  // namespace coursepond
--- a/src/core/request_fingerprint.cpp
+++ b/src/core/request_fingerprint.cpp
@@ -19,7 +19,7 @@
   text.reserve(identity.target.size() + identity.host.size() + identity.body.size() + 64);
   for (const std::string_view part :
        {identity.method, identity.host, identity.target, identity.caller, identity.body}) {
-    // The length keeps "a" + "bc" apart from "ab" + "c".
+    // The length prefix distinguishes "a" + "bc" from "ab" + "c".
     text.append(std::to_string(part.size())).append(":").append(part);
   }
   const std::string digest = Digest::of(text).bytes();
--- a/src/core/source_revision.h
+++ b/src/core/source_revision.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Where in the history of a watched source something was told.
+/// Position in the change history of a watched source.
 
 #include <compare>
 #include <ostream>
@@ -10,15 +10,15 @@
 
 namespace coursepond {
 
-/// A source numbers its changes by revisions, which rise within an era. A source that was restored
-/// from a copy begins the next era: its revisions go back, and are given out again for other
-/// changes. Default: nothing was told yet.
+/// A source numbers its changes by revisions, which increase within an era. A source that is
+/// restored from a copy starts the next era: its revision numbers go back and are reused for other
+/// changes. The default value means that nothing has been received yet.
 struct SourceRevision {
-  Era era;  ///< Zero: the source names no eras.
+  Era era;  ///< Zero if the source does not report eras.
   Generation number;
 
   constexpr SourceRevision() = default;
-  // Implicit: where eras play no part, a source's revision is its number.
+  // Implicit, because without eras a source's revision is just its number.
   constexpr SourceRevision(Generation the_number) : number(the_number) {}
   constexpr SourceRevision(Era the_era, Generation the_number) : era(the_era), number(the_number) {}
 
@@ -26,7 +26,7 @@
   friend constexpr auto operator<=>(const SourceRevision&, const SourceRevision&) = default;
 };
 
-/// "2.1041": era and number, for logs.
+/// Formats era and number for logs: "2.1041".
 inline std::string formatRevision(const SourceRevision& revision) {
   return std::to_string(revision.era.value()) + "." + std::to_string(revision.number.value());
 }
--- a/src/core/time.h
+++ b/src/core/time.h
@@ -1,19 +1,19 @@
 #pragma once
 
-/// Time as every decision class sees it. Nothing outside src/runtime reads a real clock: `now`
-/// comes from an Environment, so that the simulator can put a virtual clock in its place.
+/// Time types of the decision classes. Only src/runtime reads a real clock. Everywhere else the
+/// time comes from an Environment, so that the simulator can use a virtual clock.
 
 #include <chrono>
 #include <cstdint>
 
 namespace coursepond {
 
-/// A span of time, in microseconds.
+/// A duration in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// The monotonic clock of one process. It counts the time in which the machine was suspended, as
-/// the clocks of all other machines do: what was learned before is as old here as it is there. The
-/// standard library's steady clock stands still meanwhile.
+/// The monotonic clock of one process. It also counts the time during which the machine is
+/// suspended, so that information ages on this machine as fast as on all others. The standard
+/// library's steady clock stops during a suspension.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
@@ -24,10 +24,10 @@
   static time_point now() noexcept;
 };
 
-/// A point on the monotonic clock of one process. Points of two processes cannot be compared.
+/// A point in time on the monotonic clock of one process. Not comparable between processes.
 using TimePoint = BootClock::time_point;
 
-/// Whole milliseconds in `duration`, rounded down.
+/// Returns `duration` in whole milliseconds, rounded towards zero.
 constexpr std::int64_t toMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
--- a/tests/core/ascii_test.cpp
+++ b/tests/core/ascii_test.cpp
@@ -4,7 +4,7 @@
 
 namespace coursepond {
 
-TEST_CASE("names are compared without the case of ASCII letters only") {
+TEST_CASE("the comparison of names ignores the case of ASCII letters only") {
   CHECK(equalsIgnoringCase("X-Attempt", "x-aTTEMPT"));
   CHECK_FALSE(equalsIgnoringCase("X-Attempt", "X-Attempts"));
   CHECK_FALSE(equalsIgnoringCase("[", "{"));
--- a/tests/core/core_test.cpp
+++ b/tests/core/core_test.cpp
@@ -7,7 +7,7 @@
 
 namespace coursepond {
 
-TEST_CASE("addresses are read back as they are written") {
+TEST_CASE("formatted addresses are parsed back unchanged") {
   for (const char* text : {"127.0.0.1:8080", "[::1]:65535", "10.0.0.1:0"}) {
     const Result<Address> address = parseAddress(text);
     REQUIRE(address.has_value());
@@ -15,7 +15,7 @@
   }
 }
 
-TEST_CASE("anything that is no address is refused with a remedy") {
+TEST_CASE("invalid addresses are rejected with a remedy") {
   for (const char* text : {"", ":80", "host", "127.0.0.1:", "127.0.0.1:70000", "::1:80", "a:8x"}) {
     const Result<Address> address = parseAddress(text);
     REQUIRE_FALSE(address.has_value());
@@ -24,7 +24,7 @@
   }
 }
 
-TEST_CASE("a digest is the SHA-256 of its bytes and survives both spellings") {
+TEST_CASE("a digest is the SHA-256 of its input and survives conversion to hex and to bytes") {
   const Digest digest = Digest::of("abc");
   CHECK(digest.toHex() == "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
   CHECK(*Digest::fromHex(digest.toHex()) == digest);
@@ -39,7 +39,7 @@
   CHECK(describe(error) == "no_quorum: 2 of 4 zones answered (remedy: confirm on the other side)");
 }
 
-TEST_CASE("versions are ordered and start below every published one") {
+TEST_CASE("versions are ordered, and the default version is below every published one") {
   CHECK(Version() < Version(1));
   CHECK(Version(1).next() == Version(2));
 }
