--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -118,7 +118,7 @@
   return member;
 }
 
-/// The first element is the default zone; a member carries its own zone only if it differs.
+/// Writes the default zone, then the members. A member includes its zone only if that differs.
 Json writeMembers(const std::vector<Member>& members) {
   Json array = Json::array();
   if (members.empty()) {
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -17,8 +17,9 @@
  public:
   explicit GossipQueue(const Settings& settings) : settings_(settings) {}
 
-  /// Adds an update and replaces an older one about the same member. `source` is the node that sent
-  /// the update and does not get it back in gossip; empty for an update made by this node.
+  /// Adds an update and replaces an older one about the same member, or by the same reporter about
+  /// the same zone. `source` is the node that sent the update; it does not get it back in gossip.
+  /// For an update made by this node it is this node or empty.
   void add(const Member& member, const NodeId& source);
   void add(const ZoneReport& report, const NodeId& source);
 
--- a/src/membership/view.h
+++ b/src/membership/view.h
@@ -34,11 +34,11 @@
 struct Roles {
   bool source_reader = false;     ///< Reads the platform. At most two in a connected mesh.
   bool zone_distributor = false;  ///< Fetches content for its zone and distributes it.
-  bool voter = false;             ///< Grants prepares for its zone.
+  bool voter = false;             ///< Grants prepare requests for its zone.
   friend bool operator==(const Roles&, const Roles&) = default;
 };
 
-inline constexpr std::size_t kSourceReaders = 2;  ///< In a connected mesh.
+inline constexpr std::size_t kSourceReaders = 2;  ///< Source readers in a connected mesh.
 inline constexpr std::size_t kDistributorsPerZone = 2;
 inline constexpr std::size_t kVotersPerZone = 3;
 /// Number of probing rings. A node has two neighbours on each.
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -101,7 +101,7 @@
   CHECK(mesh->nodes.at(id)->membership.statistics().refutations > 0);
 }
 
-TEST_CASE("a broken link between two nodes does not make either of them count as dead") {
+TEST_CASE("a broken link between two nodes does not cause either to be declared dead") {
   const auto mesh = startedMesh(2);
   const NodeId left = nodeName("a", 0);
   const NodeId right = nodeName("a", 1);
@@ -113,7 +113,7 @@
   CHECK(mesh->converged());
 }
 
-TEST_CASE("lost, duplicated and reordered messages do not make any node count as dead") {
+TEST_CASE("lost, duplicated and reordered messages cause no node to be declared dead") {
   const auto mesh = startedMesh(4);
   mesh->network().setFaults({5, 5, 2ms, 20ms});
   mesh->time.runFor(3min);
@@ -268,7 +268,8 @@
   mesh.time.runFor(10s);
   CHECK(mesh.converged());
   const Settings settings;
-  // Table copies that were requested in return (send_back) are not rate limited.
+  // Table copies that were requested in return (send_back) are not rate limited and come on top of
+  // the limited ones, hence twice the limit.
   const double limit = 2 * (settings.handshakes_per_second + settings.handshake_burst);
   for (const auto& [id, seconds] : served) {
     for (const auto& [second, count] : seconds) {
--- a/tests/membership/mesh.h
+++ b/tests/membership/mesh.h
@@ -71,7 +71,7 @@
     }
   }
 
-  /// Starts a process of a listed node. A process already running under this id crashes.
+  /// Starts a process of a listed node. A process that already runs under this id crashes first.
   MeshNode& start(const NodeId& id) {
     const auto node = std::find_if(listed.begin(), listed.end(),
                                    [&](const auto& entry) { return entry.id == id; });
