--- a/src/egress/admission_throttle.cpp
+++ b/src/egress/admission_throttle.cpp
@@ -9,8 +9,8 @@
 
 bool AdmissionThrottle::passes(const ThrottleSettings& settings, TimePoint now,
                                Environment& environment) {
-  forget(settings, now);
-  const double excess = asked_ - settings.pass_ratio * accepted_ - settings.forgiven;
+  decay(settings, now);
+  const double excess = asked_ - settings.pass_ratio * accepted_ - settings.tolerated_refusals;
   if (excess <= 0) return true;
   const double refused_part = excess / asked_;
   if (!happens(environment, refused_part)) return true;
@@ -20,12 +20,12 @@
 
 void AdmissionThrottle::onOutcome(const ThrottleSettings& settings, TimePoint now,
                                   bool is_accepted) {
-  forget(settings, now);
+  decay(settings, now);
   asked_ += 1;
   if (is_accepted) accepted_ += 1;
 }
 
-void AdmissionThrottle::forget(const ThrottleSettings& settings, TimePoint now) {
+void AdmissionThrottle::decay(const ThrottleSettings& settings, TimePoint now) {
   const double kept = leftAfter(std::max(now - counted_at_, Duration(0)), settings.half_life);
   asked_ *= kept;
   accepted_ *= kept;
--- a/src/egress/admission_throttle.h
+++ b/src/egress/admission_throttle.h
@@ -1,10 +1,12 @@
 #pragma once
 
-/// Refuses at the egress what a full service would refuse anyway, without a message: adaptive
-/// throttling on the client's side ("Site Reliability Engineering", chapter "Handling Overload").
-/// Requests pass freely while most are accepted. When a service accepts only some, as many pass as
-/// it accepts and a part more, so that room is noticed within the time in which counts are
-/// forgotten.
+/// Client-side adaptive throttling ("Site Reliability Engineering", chapter "Handling Overload"):
+/// the egress itself refuses requests that an overloaded service would refuse, which saves the
+/// messages.
+///
+/// All requests pass while most are accepted. When a service accepts only some, the throttle lets
+/// through a fixed multiple of the accepted rate. The surplus detects regained capacity within the
+/// half-life of the counts.
 
 #include "core/environment.h"
 #include "core/time.h"
@@ -12,28 +14,29 @@
 namespace coursepond::egress {
 
 struct ThrottleSettings {
-  /// Requests that pass, as a multiple of those accepted lately.
+  /// Requests that pass, as a multiple of the recently accepted ones.
   double pass_ratio = 1.5;
-  /// What was counted counts half after this: overload comes and goes within seconds.
+  /// Half-life of the request counts. Short, because overload comes and goes within seconds.
   Duration half_life = std::chrono::milliseconds(350);
-  /// Refusals that are forgiven before any request is held back: a few are chance.
-  double forgiven = 6;
+  /// Number of refusals before any request is throttled, since a few happen by chance.
+  double tolerated_refusals = 6;
 };
 
-/// Of one service and rank, on one node.
+/// Throttle for one service and rank on one node.
 class AdmissionThrottle {
  public:
-  /// Whether a request that came now may be sent. Counts one that may not as refused.
+  /// Returns whether a request may be sent now. If not, the request is counted as refused.
   bool passes(const ThrottleSettings& settings, TimePoint now, Environment& environment);
-  /// What became of a request that was sent: an ingress took it, or all that were asked refused.
+  /// Records the outcome of a request that was sent: an ingress accepted it, or all ingresses that
+  /// were asked refused it.
   void onOutcome(const ThrottleSettings& settings, TimePoint now, bool is_accepted);
 
  private:
-  void forget(const ThrottleSettings& settings, TimePoint now);
+  void decay(const ThrottleSettings& settings, TimePoint now);
 
-  double asked_ = 0;  ///< Whose outcome is known.
-  double accepted_ = 0;
-  TimePoint counted_at_;
+  double asked_ = 0;      ///< Decaying count of requests with a known outcome.
+  double accepted_ = 0;   ///< Decaying count of those that were accepted.
+  TimePoint counted_at_;  ///< When the counts were last decayed.
 };
 
 }  // namespace coursepond::egress
--- a/src/egress/egress_flow.cpp
+++ b/src/egress/egress_flow.cpp
@@ -27,17 +27,18 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 constexpr int kLowestServerError = 500;
-constexpr Duration kLeastRemaining = std::chrono::milliseconds(1);
-/// A request whose answer two servers lost is not sent to a third: if they ended under it, each
-/// further one takes what runs beside it down as well.
-constexpr std::uint32_t kMostRunsLost = 2;
-/// A request with less than this left is not begun again.
-constexpr Duration kLeastForRepeat = std::chrono::milliseconds(20);
+constexpr Duration kMinRemaining = std::chrono::milliseconds(1);
+/// A request whose answer was lost by this many servers is not sent to another one. If the request
+/// crashes servers, each further crash also kills the other requests on that server.
+constexpr std::uint32_t kMaxLostRuns = 2;
+/// A request is not repeated with less than this left until its deadline.
+constexpr Duration kMinRemainingForRepeat = std::chrono::milliseconds(20);
 
 const std::vector<RegionId> kAllRegions;
 
-/// Whether an ingress refused since its server is busy, not since it is leaving or another's.
-bool isForWantOfRoom(const AnswerHead& answer) {
+/// Returns whether an ingress refused because its server or link is busy, as opposed to a server
+/// that is leaving or belongs to another service.
+bool isCapacityRefusal(const AnswerHead& answer) {
   return answer.node_reason == reasonWord(Reason::kQueueFull) ||
          answer.node_reason == reasonWord(Reason::kNoFreeSlot) ||
          answer.node_reason == reasonWord(Reason::kQueueTimeout) ||
@@ -80,7 +81,7 @@
   bool hasQuota() const;
   void askQuota(TimePoint now);
   void admit(TimePoint now);
-  bool isHeldBack(TimePoint now);
+  bool isThrottled(TimePoint now);
   void noteOutcome(bool is_accepted, TimePoint now);
   void sendOrWait(TimePoint now);
   void sendTrial(TimePoint now);
@@ -99,11 +100,11 @@
   }
   bool shouldRepeat(const AnswerHead& answer, TimePoint now);
   void onNotRun(const AnswerHead& answer, TimePoint now);
-  void onTurnedAway(const AnswerHead& answer, TimePoint now);
+  void onIngressRefused(const AnswerHead& answer, TimePoint now);
   void onOtherInstance(TimePoint now);
   void onServerRefused(TimePoint now);
-  void onUnknown(Reason reason, TimePoint now);
-  void onLostUnread(TimePoint now);
+  void onOutcomeUnknown(Reason reason, TimePoint now);
+  void onLostBeforeReceipt(TimePoint now);
   void onSilent(TimePoint now);
   void noteArrival();
   bool mayRepeat(RepeatReason reason, TimePoint now);
@@ -117,19 +118,20 @@
   proxy::LocalAnswer makeAnswer(Reason reason) const;
   Duration retryAfter(Reason reason) const;
 
-  /// By when it is answered: its deadline, or the end of a planned stop that began since.
-  TimePoint latest() const { return std::min(deadline_, state_.latestAnswer()); }
+  /// Time by which the request is answered: its deadline, or the end of a planned stop that was
+  /// announced since, if that is earlier.
+  TimePoint effectiveDeadline() const { return std::min(deadline_, state_.stopDeadline()); }
 
   EgressState::Destination destination() const {
     return {service_, route_->regions, tenant_ != nullptr ? tenant_->regions : kAllRegions};
   }
-  /// The tenant's goes before the route's.
+  /// The tenant's rank overrides the route's.
   std::uint32_t rank() const {
     return tenant_ != nullptr ? tenant_->rank.value_or(route_->rank) : route_->rank;
   }
   AdmissionThrottle& throttle() { return state_.use(service_).throttles[rank()]; }
 
-  /// How likely it is that the attempt that begins counts as a repeat.
+  /// Returns the probability that the current attempt counts as a repeat.
   double repeatShare() const { return has_arrived_ ? 1 : first_repeat_share_; }
 
   Duration target() const {
@@ -142,36 +144,36 @@
   Environment& environment_;
   proxy::RequestIo& io_;
   std::shared_ptr<const RoutingTable> routing_;
-  const model::Route* route_ = nullptr;    ///< Kept alive by routing_.
-  const model::Tenant* tenant_ = nullptr;  ///< Likewise; null: nobody's.
+  const model::Route* route_ = nullptr;    ///< Owned by routing_.
+  const model::Tenant* tenant_ = nullptr;  ///< Owned by routing_; null: no tenant.
   ServiceName service_;
   ServerPointer server_;
   std::vector<EndpointId> tried_;
-  std::optional<SlotSearch> slots_;  ///< From the choice of its route on.
+  std::optional<SlotSearch> slots_;  ///< Set on admission.
   Phase phase_ = Phase::kNew;
   AttemptId attempt_ = 0;
-  std::uint32_t arrivals_ = 0;          ///< Servers that may have seen the request.
-  double first_repeat_share_ = 0;       ///< How likely the first attempt counts as a repeat.
-  std::uint32_t silent_ingresses_ = 0;  ///< That did not say that they have it.
-  std::uint32_t runs_lost_ = 0;         ///< Answers that servers lost, by ending or otherwise.
+  std::uint32_t arrivals_ = 0;          ///< Number of servers that may have seen the request.
+  double first_repeat_share_ = 0;       ///< Probability that the first attempt counts as a repeat.
+  std::uint32_t silent_ingresses_ = 0;  ///< Number that did not acknowledge the request in time.
+  std::uint32_t lost_runs_ = 0;  ///< Number of answers lost between a server and its ingress.
   std::uint32_t max_attempts_ = 1;
   bool is_repeatable_ = false;
-  bool is_call_ = false;  ///< This machine's server sent it, for a request that it runs.
+  bool is_call_ = false;  ///< Sent by this machine's server on behalf of a request that it runs.
   bool may_have_run_ = false;
-  bool has_arrived_ = false;           ///< Maybe, at a server, in an attempt before this one.
-  bool asked_other_instance_ = false;  ///< Of the same server, for this request.
-  bool was_received_ = false;          ///< The current attempt, by its ingress.
-  bool arrival_noted_ = false;         ///< Of the current attempt.
-  bool outcome_noted_ = false;         ///< For the throttle.
+  bool has_arrived_ = false;           ///< An earlier attempt may have reached a server.
+  bool asked_other_instance_ = false;  ///< Already sent to a restarted server a second time.
+  bool was_received_ = false;          ///< The ingress acknowledged the current attempt.
+  bool arrival_noted_ = false;         ///< noteArrival() has counted the current attempt.
+  bool outcome_noted_ = false;         ///< The throttle has the outcome of this request.
   bool was_refused_ = false;
   bool is_trial_ = false;      ///< See CrashVerdict.
-  bool is_late_ = false;       ///< The deadline ended it.
-  bool holds_quota_ = false;   ///< A token of its tenant's quota is used for it.
-  bool holds_repeat_ = false;  ///< Charged for an arrival that has not been yet.
+  bool is_late_ = false;       ///< Ended by the deadline.
+  bool holds_quota_ = false;   ///< Took a token from its tenant's quota.
+  bool holds_repeat_ = false;  ///< Paid for a repeat that has not reached a server yet.
   std::optional<Duration> retry_after_;
   TimePoint deadline_;
   TimePoint started_;
-  TimePoint patient_until_;
+  TimePoint wait_until_;
   TimePoint attempt_started_;
 };
 
@@ -187,11 +189,12 @@
   route(now);
 }
 
-/// A node that has just started has its first configuration within moments: wait so long.
+/// A node that has just started gets its first configuration within moments, so the request waits
+/// for it.
 void EgressFlow::waitForConfiguration(TimePoint now) {
-  const TimePoint until = started_ + state_.settings().configuration_patience;
+  const TimePoint until = started_ + state_.settings().configuration_wait;
   if (now >= until) return conclude(Reason::kNoConfiguration);
-  state_.deadlines().arm(*this, std::min(until, now + state_.settings().look_again));
+  state_.deadlines().arm(*this, std::min(until, now + state_.settings().server_poll_interval));
 }
 
 void EgressFlow::route(TimePoint now) {
@@ -207,7 +210,7 @@
   hasQuota() ? askQuota(now) : admit(now);
 }
 
-/// Calls belong to a request that was counted.
+/// Calls are not counted, because they belong to a request that was already counted.
 bool EgressFlow::hasQuota() const {
   return tenant_ != nullptr && !is_call_ && tenant_->quota.isLimited() &&
          state_.quotas() != nullptr;
@@ -235,24 +238,25 @@
 void EgressFlow::admit(TimePoint now) {
   is_repeatable_ = proxy::mayRunTwice(route_->repeatability, head_.method);
   max_attempts_ = route_->max_attempts > 0 ? route_->max_attempts : 1;
-  const bool is_held = route_->longest_hold > Duration(0);
+  const bool has_hold_limit = route_->longest_hold > Duration(0);
   Duration allowed =
       std::min(head_.deadline.value_or(route_->timeout), state_.settings().longest_deadline);
-  if (is_held) allowed = std::min(allowed, route_->longest_hold);
-  if (state_.latestAnswer() - started_ < allowed) allowed = state_.latestAnswer() - started_;
+  if (has_hold_limit) allowed = std::min(allowed, route_->longest_hold);
+  if (state_.stopDeadline() - started_ < allowed) allowed = state_.stopDeadline() - started_;
   if (allowed <= Duration(0)) return conclude(Reason::kDeadline);
-  const bool is_too_late = state_.latestAnswer() - now <= state_.settings().stop_reserve;
+  const bool is_too_late = state_.stopDeadline() - now <= state_.settings().stop_reserve;
   if (is_too_late) return conclude(Reason::kStopping);
   deadline_ = started_ + allowed;
-  patient_until_ = std::min(deadline_, now + part(target(), state_.settings().patience));
+  wait_until_ = std::min(deadline_, now + part(target(), state_.settings().patience));
   service_ = state_.split().next(*route_);
   slots_.emplace(state_.settings().slots, is_call_);
   const bool may_run = verdict(now) == CrashVerdict::kMayRun;
-  if (may_run && isHeldBack(now)) return conclude(Reason::kQueueFull);
+  if (may_run && isThrottled(now)) return conclude(Reason::kQueueFull);
   sendOrWait(now);
 }
 
-/// Finds whose the request is, or why it may not be served. A call is its caller's tenant's.
+/// Finds the tenant of the request, or returns the reason for refusing it. A call belongs to the
+/// tenant of the request that made it.
 std::optional<Reason> EgressFlow::identify() {
   const admission::TenantTable& tenants = routing_->tenants;
   if (tenants.empty()) return std::nullopt;
@@ -263,16 +267,17 @@
     return std::nullopt;
   }
   if (tenant_ != nullptr || route_->is_public) return std::nullopt;
-  // Work that was given up, or began before this node did, may still make calls. They cannot be
-  // told from a caller's request, so that they are not run; nor are they said to lack a key.
+  // Requests that were given up, or that started before this node did, may still make calls. Such a
+  // call cannot be distinguished from a request of an external caller. So it is not run, but it
+  // does not get the answer for a missing key either.
   const bool may_be_call = !head_.key_digest && proxy::RetryAccounts::namesParent(head_.request_id);
   if (may_be_call) return Reason::kUnknownParent;
   return state_.mayHaveMissedVersion() ? Reason::kStaleConfiguration : Reason::kUnknownApiKey;
 }
 
-/// Whether the service is so full that an ingress would most likely refuse the request. Calls are
-/// never held back: their parent's work would be lost.
-bool EgressFlow::isHeldBack(TimePoint now) {
+/// Returns whether the service is so full that an ingress would most likely refuse the request.
+/// Calls are never throttled, because the work of the request that made them would be lost.
+bool EgressFlow::isThrottled(TimePoint now) {
   if (is_call_) return false;
   if (throttle().passes(state_.settings().throttle, now, environment_)) return false;
   ++state_.statistics().throttled;
@@ -295,15 +300,16 @@
     return send(server, now);
   }
   if (was_refused_) return joinQueue(now);
-  // Waiting would not help: zones are drained for long, and regions stay.
-  if (state_.isBarred(destination())) {
+  // Waiting would not help: zones stay drained for a long time, and regions do not change.
+  if (state_.hasOnlyExcludedServers(destination())) {
     return conclude(destination().namesRegions() ? Reason::kNoServer : Reason::kZoneDrained);
   }
   waitForServer(now);
 }
 
-/// Servers ended under such requests. One at a time shows whether this is why, at one server, so
-/// that the others go on; the rest are refused at once, here or by the ingress beside that server.
+/// Servers have crashed while running requests with this fingerprint. One trial at a time on a
+/// single server shows whether the request is the cause, without a risk for the other servers. All
+/// other requests with the fingerprint are refused at once, here or by the ingress of that server.
 void EgressFlow::sendTrial(TimePoint now) {
   const bool may_try = verdict(now) == CrashVerdict::kTrialOnly && attempt_ == 0;
   ServerPointer server =
@@ -313,11 +319,13 @@
   send(std::move(server), now);
 }
 
-/// Nobody can take it just now: servers come and go, so look again soon, but not for long.
+/// No server is available now. Servers come and go, so the request checks again at short intervals
+/// for a limited time.
 void EgressFlow::waitForServer(TimePoint now) {
-  if (now >= patient_until_) return conclude(Reason::kNoServer);
+  if (now >= wait_until_) return conclude(Reason::kNoServer);
   phase_ = Phase::kWaiting;
-  state_.deadlines().arm(*this, std::min(patient_until_, now + state_.settings().look_again));
+  state_.deadlines().arm(*this,
+                         std::min(wait_until_, now + state_.settings().server_poll_interval));
 }
 
 void EgressFlow::send(ServerPointer server, TimePoint now) {
@@ -329,7 +337,8 @@
   ++state_.statistics().attempts;
   was_received_ = false;
   arrival_noted_ = false;
-  state_.deadlines().arm(*this, std::min(latest(), now + state_.receiptTimeout(target())));
+  state_.deadlines().arm(*this,
+                         std::min(effectiveDeadline(), now + state_.receiptTimeout(target())));
   if (attempt_ == 1) {
     first_repeat_share_ = state_.retries().onFirstAttempt(service_, head_.request_id);
   }
@@ -362,12 +371,12 @@
   return plan;
 }
 
-/// What a server gets. Where the end of a planned stop comes first, its own word that it gave up
-/// must arrive before this node breaks it off.
+/// Returns the time that the server gets for the request. If the end of a planned stop comes before
+/// the deadline, the server's report that it gave up must still arrive before this node exits.
 Duration EgressFlow::remaining(TimePoint now) const {
   const Duration by_deadline = deadline_ - now - state_.settings().deadline_reserve;
-  const Duration by_stop = state_.latestAnswer() - now - state_.settings().stop_reserve;
-  return std::max(std::min(by_deadline, by_stop), kLeastRemaining);
+  const Duration by_stop = state_.stopDeadline() - now - state_.settings().stop_reserve;
+  return std::max(std::min(by_deadline, by_stop), kMinRemaining);
 }
 
 void EgressFlow::releaseServer() {
@@ -400,7 +409,7 @@
       releaseServer();
       return sendOrWait(now);
     case AttemptFailure::kClosedUnsent: {
-      // The kept connection was dead; a new one to the same ingress will tell.
+      // The pooled connection was dead; a new connection to the same ingress may work.
       releaseServer();
       return sendOrWait(now);
     }
@@ -409,17 +418,18 @@
     case AttemptFailure::kLostAfterSend:
       ++state_.statistics().hop_failures;
       state_.onUnreachable(*server_, now);
-      if (!was_received_ && is_repeatable_) return onLostUnread(now);
-      return onUnknown(Reason::kConnectionLost, now);
+      if (!was_received_ && is_repeatable_) return onLostBeforeReceipt(now);
+      return onOutcomeUnknown(Reason::kConnectionLost, now);
     case AttemptFailure::kMalformedAnswer:
       ++state_.statistics().bad_answers;
-      return onUnknown(Reason::kMalformedAnswer, now);
+      return onOutcomeUnknown(Reason::kMalformedAnswer, now);
   }
 }
 
-/// The ingress ended before it said that it has the request. Its word may be what was lost: a reset
-/// discards what this node has not read yet, so that a server may have seen the request.
-void EgressFlow::onLostUnread(TimePoint now) {
+/// The connection to the ingress was lost before this node read an acknowledgement. A reset
+/// discards data that was received but not read, so an acknowledgement may be lost and a server may
+/// have seen the request.
+void EgressFlow::onLostBeforeReceipt(TimePoint now) {
   may_have_run_ = true;
   noteArrival();
   releaseServer();
@@ -434,12 +444,12 @@
   if (!was_received_) state_.onReceipt(now - attempt_started_);
   noteOutcome(true, now);
   was_received_ = true;
-  state_.deadlines().arm(*this, latest());
+  state_.deadlines().arm(*this, effectiveDeadline());
 }
 
-/// The ingress did not say that it has the request: it is frozen, cut off or far too slow. What was
-/// not confirmed has surely not run; the rest may be tried once more where that is allowed, or
-/// goes on waiting.
+/// The ingress did not acknowledge the request: it is frozen, partitioned or far too slow. A
+/// request of which nothing was sent has certainly not run and may go elsewhere. Any other one is
+/// repeated if that is allowed; otherwise it keeps waiting.
 void EgressFlow::onSilent(TimePoint now) {
   note(proxy::DecisionKind::kAttemptEnded, "silent", 0);
   ++state_.statistics().hop_silences;
@@ -454,16 +464,18 @@
     return conclude(Reason::kNoServer);
   }
   if (is_last) {
-    state_.deadlines().arm(*this, latest());
+    state_.deadlines().arm(*this, effectiveDeadline());
     return;
   }
   const bool has_other = state_.pick(destination(), tried_, now) != nullptr;
-  // A stop takes no work away from a server: its repeat may find no time before this node's end.
-  const bool may_leave = is_repeatable_ && !state_.isStopping();
-  const bool may_go_on =
-      has_other && (surely_not_run || (may_leave && mayRepeat(RepeatReason::kIngressSilent, now)));
-  if (!may_go_on) {
-    state_.deadlines().arm(*this, latest());
+  // During a planned stop, no request is taken away from a server that may be running it, because
+  // the repeat may not finish before this node exits.
+  const bool may_abandon = is_repeatable_ && !state_.isStopping();
+  const bool may_resend =
+      has_other &&
+      (surely_not_run || (may_abandon && mayRepeat(RepeatReason::kIngressSilent, now)));
+  if (!may_resend) {
+    state_.deadlines().arm(*this, effectiveDeadline());
     return;
   }
   if (!surely_not_run) may_have_run_ = true;
@@ -479,7 +491,7 @@
     note(proxy::DecisionKind::kAttemptEnded, "not_its_answer", 0);
     ++state_.statistics().bad_answers;
     io_.cancelAttempt(attempt_);
-    return onUnknown(Reason::kMalformedAnswer, now);
+    return onOutcomeUnknown(Reason::kMalformedAnswer, now);
   }
   state_.onReached(*server_);
   if (answer.hop_load) state_.onLoad(*server_, *answer.hop_load, now);
@@ -494,8 +506,8 @@
     note(proxy::DecisionKind::kAttemptEnded, answer.node_reason, 0);
     io_.discardAnswer(attempt_);
     const bool was_late = answer.status == kGatewayTimeout;
-    if (answer.node_reason == reasonWord(Reason::kConnectionLost)) ++runs_lost_;
-    return onUnknown(was_late ? Reason::kDeadline : Reason::kConnectionLost, now);
+    if (answer.node_reason == reasonWord(Reason::kConnectionLost)) ++lost_runs_;
+    return onOutcomeUnknown(was_late ? Reason::kDeadline : Reason::kConnectionLost, now);
   }
   state_.onLatency(*server_, state_.use(service_), now - attempt_started_, now);
   if (shouldRepeat(answer, now)) {
@@ -510,8 +522,9 @@
   io_.forwardAnswer(attempt_);
 }
 
-/// A server's own failure of a repeatable request is worth another server's try, while the first
-/// failure can still be passed on: only when a server for it is at hand.
+/// Returns whether a repeatable request that the server answered with an error should be repeated.
+/// The error can be forwarded only until the answer is discarded, so the request is repeated only
+/// if another server is available now.
 bool EgressFlow::shouldRepeat(const AnswerHead& answer, TimePoint now) {
   if (answer.status < kLowestServerError || answer.status == kGatewayTimeout) return false;
   if (!is_repeatable_) return false;
@@ -528,30 +541,30 @@
   }
   if (answer.node_reason == reasonWord(Reason::kOtherInstance)) return onOtherInstance(now);
   if (answer.node_reason == reasonWord(Reason::kServerRefused)) return onServerRefused(now);
-  onTurnedAway(answer, now);
+  onIngressRefused(answer, now);
 }
 
-/// By the ingress: no server saw the request.
-void EgressFlow::onTurnedAway(const AnswerHead& answer, TimePoint now) {
+/// The ingress itself refused the request; no server saw it.
+void EgressFlow::onIngressRefused(const AnswerHead& answer, TimePoint now) {
   ++state_.statistics().hop_refusals;
   tried_.push_back(server_->entry.id);
   const bool is_over_budget = answer.node_reason == reasonWord(Reason::kRetryBudget);
   const bool is_rejecting = answer.node_reason == reasonWord(Reason::kServerRejecting);
   const bool is_suspect = answer.node_reason == reasonWord(Reason::kCrashesServers);
-  if (isForWantOfRoom(answer)) slots_->onNoRoom(server_, server_->load);
+  if (isCapacityRefusal(answer)) slots_->onFull(server_, server_->load);
   if (is_rejecting) slots_->onRejecting(server_, server_->load);
   if (is_over_budget) slots_->onRefused();
   releaseServer();
   if (now >= deadline_) return conclude(Reason::kDeadline);
-  // Others may not know yet, and would run it.
+  // Other ingresses may not know of the crash suspect yet and would run it.
   if (is_suspect) return conclude(Reason::kCrashesServers);
-  const bool is_last = slots_->isOver() || slots_->shouldJoin();
+  const bool is_last = slots_->isExhausted() || slots_->shouldJoinQueue();
   if (is_over_budget && is_last) return conclude(Reason::kRetryBudget);
-  if (slots_->isOver()) return concludeFull(now);
-  slots_->shouldJoin() ? joinQueue(now) : sendOrWait(now);
+  if (slots_->isExhausted()) return concludeFull(now);
+  slots_->shouldJoinQueue() ? joinQueue(now) : sendOrWait(now);
 }
 
-/// No slot was free where one was asked for.
+/// Called when none of the ingresses that were asked had a free slot.
 void EgressFlow::joinQueue(TimePoint now) {
   if (verdict(now) != CrashVerdict::kMayRun) return conclude(Reason::kCrashesServers);
   ServerPointer server = slots_->joinShortestQueue();
@@ -564,8 +577,8 @@
   conclude(Reason::kQueueFull);
 }
 
-/// Another start of the server has the address. The ingress knows it now, so that it is asked
-/// again; for the service this is a further server that sees the request.
+/// The server has restarted, and a new instance has its address. The ingress knows that instance
+/// now, so it is asked again. This counts as a further server that sees the request.
 void EgressFlow::onOtherInstance(TimePoint now) {
   if (std::exchange(asked_other_instance_, true)) return onServerRefused(now);
   ++state_.statistics().server_refusals;
@@ -586,7 +599,7 @@
 }
 
 /// The attempt may have run and its answer is lost.
-void EgressFlow::onUnknown(Reason reason, TimePoint now) {
+void EgressFlow::onOutcomeUnknown(Reason reason, TimePoint now) {
   may_have_run_ = true;
   noteArrival();
   releaseServer();
@@ -597,11 +610,11 @@
   conclude(reason);
 }
 
-/// Whether one more server may see the request. Takes it from the allowance.
+/// Returns whether one more server may see the request, and charges the retry budget for it.
 bool EgressFlow::mayRepeat(RepeatReason reason, TimePoint now) {
   if (may_have_run_ && !is_repeatable_) return false;
-  if (runs_lost_ >= kMostRunsLost || verdict(now) != CrashVerdict::kMayRun) return false;
-  if (arrivals_ >= max_attempts_ || deadline_ - now < kLeastForRepeat) return false;
+  if (lost_runs_ >= kMaxLostRuns || verdict(now) != CrashVerdict::kMayRun) return false;
+  if (arrivals_ >= max_attempts_ || deadline_ - now < kMinRemainingForRepeat) return false;
   if (!state_.retries().takeRepeat(service_, reason, repeatUse(reason, now))) {
     ++state_.statistics().repeats_denied;
     note(proxy::DecisionKind::kRepeatDenied, repeatWord(reason), 0);
@@ -612,7 +625,8 @@
   return true;
 }
 
-/// Repeats that can still be in time and were not turned away go before the others.
+/// Repeats that can still meet the target latency and do not follow a server's refusal may use the
+/// whole retry budget; all others may use half of it.
 proxy::RepeatUse EgressFlow::repeatUse(RepeatReason reason, TimePoint now) {
   const Duration usual =
       part(std::chrono::milliseconds(1), state_.use(service_).average_latency_ms);
@@ -624,7 +638,8 @@
 // ---- Ends
 
 void EgressFlow::onDeadline(TimePoint now) {
-  if (phase_ == Phase::kAttempting && now < latest() && !was_received_) return onSilent(now);
+  if (phase_ == Phase::kAttempting && now < effectiveDeadline() && !was_received_)
+    return onSilent(now);
   if (phase_ == Phase::kAttempting) {
     if (io_.bytesSent(attempt_)) may_have_run_ = true;
     io_.cancelAttempt(attempt_);
@@ -632,7 +647,7 @@
     return conclude(Reason::kDeadline);
   }
   if (!routing_) return route(now);
-  if (now >= latest()) return conclude(Reason::kDeadline);
+  if (now >= effectiveDeadline()) return conclude(Reason::kDeadline);
   sendOrWait(now);
 }
 
--- a/src/egress/egress_flow.h
+++ b/src/egress/egress_flow.h
@@ -1,12 +1,15 @@
 #pragma once
 
-/// One request at the egress: find its route and service, choose a server, send it to the ingress
-/// beside that server, try elsewhere where that is allowed, and answer at once when it is given up.
+/// State machine of one request at the egress. It finds the route and the service, chooses a
+/// server, sends the request to the ingress beside that server, tries other servers where that is
+/// allowed, and answers the caller itself as soon as it gives up.
 ///
 /// Invariants:
-///   - "not run" (503) is answered only when no attempt may have run;
-///   - what is not repeatable is sent on again only after an attempt that surely did not run;
-///   - an answer is passed on only when it is this request's, and a success only when it is signed.
+///   - "not run" (503) is answered only if no attempt can have run;
+///   - a request that is not repeatable is sent again only after an attempt that certainly did not
+///     run;
+///   - an answer is forwarded only if it belongs to this request;
+///   - a successful answer is forwarded only if it is signed (where signatures are expected).
 
 #include <memory>
 
@@ -15,11 +18,12 @@
 
 namespace coursepond::egress {
 
-/// Makes the state machine of one request. `state`, `environment` and `io` must outlive it.
+/// Creates the state machine of one request. `state`, `environment` and `io` must outlive it.
 std::unique_ptr<proxy::Exchange> makeEgressFlow(proxy::RequestHead head, EgressState& state,
                                                 Environment& environment, proxy::RequestIo& io);
 
-/// Whether the route in force lets this request run more than once. False without a route.
+/// Returns whether the route in force allows this request to run more than once. False if there is
+/// no route.
 bool mayRunTwice(const proxy::RequestHead& head, const EgressState& state);
 
 }  // namespace coursepond::egress
--- a/src/egress/egress_state.cpp
+++ b/src/egress/egress_state.cpp
@@ -9,30 +9,31 @@
 namespace coursepond::egress {
 namespace {
 
-/// Kept back from the end of a planned stop, so that the last answers still go out.
+/// Time reserved before the end of a planned stop, so that the last answers can still be sent.
 constexpr Duration kStopReserve = std::chrono::milliseconds(50);
 constexpr std::uint32_t kConnectionsPerIngress = 256;
-constexpr std::uint32_t kLargestAvoidShift = 4;
-constexpr std::uint32_t kUnknownSlots = 8;
-/// Cost factor of a server that is still cold.
+constexpr std::uint32_t kMaxAvoidShift = 4;
+/// Number of slots assumed while neither a load report nor the server's entry contains it.
+constexpr std::uint32_t kDefaultSlots = 8;
+/// Cost factor for a server that is still cold.
 constexpr double kColdFactor = 1.6;
-/// Two costs that differ by less are equal: the one drawn first is taken.
+/// Costs that differ by less than this count as equal, and the server drawn first is taken.
 constexpr double kCostTolerance = 0.05;
-constexpr double kLowestSlowness = 0.4;
-constexpr double kHighestSlowness = 6.0;
-/// An ingress is silent when it takes this many times the usual time to say that it has a request.
-constexpr double kReceiptsWaited = 4.0;
+constexpr double kMinSlowness = 0.4;
+constexpr double kMaxSlowness = 6.0;
+/// An ingress is silent if it takes this many times the average time to acknowledge a request.
+constexpr double kReceiptTimeoutFactor = 4.0;
 
-/// Weight of one report in its service's averages: about the last twenty.
+/// Weight of one load report in the service's averages, which cover about the last twenty reports.
 constexpr double kReportWeight = 0.05;
-constexpr Duration kShortestLoadHalfLife = std::chrono::milliseconds(50);
+constexpr Duration kMinLoadHalfLife = std::chrono::milliseconds(50);
 
 std::uint32_t knownSlots(const Server& server) {
   if (server.load.slots > 0) return server.load.slots;
-  return server.entry.slots > 0 ? server.entry.slots : kUnknownSlots;
+  return server.entry.slots > 0 ? server.entry.slots : kDefaultSlots;
 }
 
-/// No regions named are all.
+/// An empty list allows all regions.
 bool allows(const std::vector<RegionId>& regions, const RegionId& region) {
   return regions.empty() || std::find(regions.begin(), regions.end(), region) != regions.end();
 }
@@ -67,7 +68,8 @@
 
 void EgressState::onDirectoryChanged() { retries_.setNodes(directory_.all().size()); }
 
-/// A zone of unknown region is no region's own: a body that may not go there stays here.
+/// A zone without a known region is in none of the named regions, so that data that is restricted
+/// to regions is never sent there.
 bool EgressState::isAllowed(const Server& server, const Destination& to) const {
   if (drained_zones_.contains(server.entry.zone)) return false;
   if (!to.namesRegions()) return true;
@@ -87,18 +89,19 @@
     const bool is_near = server->entry.zone == settings_.own_zone;
     (server->leaving(now) ? leaving : is_near ? near : far).push_back(&server);
   }
-  if (near.empty() && far.empty()) return cheapestOfDrawn(leaving, now);
-  ServerPointer nearest = cheapestOfDrawn(near, now);
-  ServerPointer farther = cheapestOfDrawn(far, now);
+  if (near.empty() && far.empty()) return cheapestOfSample(leaving, now);
+  ServerPointer nearest = cheapestOfSample(near, now);
+  ServerPointer farther = cheapestOfSample(far, now);
   if (!nearest || !farther) return nearest ? nearest : farther;
-  // What others have there is known late; what this node has there alone may fill it.
+  // The load from other nodes is known only with delay, but the requests of this node alone may
+  // occupy all slots.
   const bool may_have_slot = nearest->in_flight < knownSlots(*nearest);
   const double near_cost =
       asks_own_zone && may_have_slot ? idleCost(*nearest, now) : cost(*nearest, now);
   return cost(*farther, now) > near_cost - kCostTolerance ? nearest : farther;
 }
 
-/// Rendezvous hashing, by machine: a server's next start has another id.
+/// Uses rendezvous hashing over the machine addresses, because a restarted server has another id.
 ServerPointer EgressState::pickForTrial(const Destination& to, RequestFingerprint request,
                                         TimePoint now) const {
   ServerPointer best;
@@ -119,19 +122,20 @@
 
 Duration EgressState::suspectRetryAfter(RequestFingerprint request, TimePoint now) const {
   if (suspects_ == nullptr) return settings_.default_retry_after;
-  const Duration trial = suspects_->trialIn(request, now).value_or(settings_.crasher_retry_after);
-  // One that is due may be under way: its end shows soon.
+  const Duration trial =
+      suspects_->trialIn(request, now).value_or(settings_.crash_suspect_retry_after);
+  // A trial that is due may already be in flight, and its outcome will be known soon.
   return std::max(trial, settings_.default_retry_after);
 }
 
-bool EgressState::isBarred(const Destination& to) const {
+bool EgressState::hasOnlyExcludedServers(const Destination& to) const {
   const std::vector<ServerPointer>& servers = directory_.usable(to.service);
   return !servers.empty() &&
          std::all_of(servers.begin(), servers.end(),
                      [&](const ServerPointer& server) { return !isAllowed(*server, to); });
 }
 
-ServerPointer EgressState::cheapestOfDrawn(Candidates& group, TimePoint now) const {
+ServerPointer EgressState::cheapestOfSample(Candidates& group, TimePoint now) const {
   ServerPointer best;
   double best_cost = std::numeric_limits<double>::max();
   const std::size_t compared = std::min(group.size(), settings_.servers_compared);
@@ -176,8 +180,8 @@
   if (server.load.slots == 0) return usual;
   const double reported = server.load.running + server.load.waiting;
   const double others = std::max(0.0, reported - server.in_flight_at_report);
-  // Within about one service time, what ran then has ended and others have come.
-  const Duration half_life = std::max(server.load.service_time, kShortestLoadHalfLife);
+  // After about one service time, the reported requests have ended and others have replaced them.
+  const Duration half_life = std::max(server.load.service_time, kMinLoadHalfLife);
   return usual + (others - usual) * leftAfter(now - server.load_at, half_life);
 }
 
@@ -187,7 +191,7 @@
 
 void EgressState::onUnreachable(Server& server, TimePoint now) {
   if (server.failures == 0) note(proxy::ServerChange::kUnreachable, server.entry.id);
-  const std::uint32_t shift = std::min(server.failures++, kLargestAvoidShift);
+  const std::uint32_t shift = std::min(server.failures++, kMaxAvoidShift);
   const Duration pause = std::min(settings_.avoid * (1U << shift), settings_.longest_avoid);
   server.avoid_until = std::max(server.avoid_until, now + pause);
 }
@@ -200,8 +204,8 @@
   if (load.draining) server.leaving_until = now + settings_.avoid_draining;
 }
 
-/// An ingress sees all requests of its server, this node only its own: the report tells sooner that
-/// a server is slow.
+/// An ingress sees all requests to its server, while this node sees only its own. So the report
+/// reveals a slow server earlier.
 void EgressState::learnFromReport(Server& server, const proxy::HopLoad& load) {
   ServiceUse& use = this->use(server.entry.service);
   const double service_ms = toMillisecondsExact(load.service_time);
@@ -212,15 +216,15 @@
   }
   use.average_service_ms += kReportWeight * (service_ms - use.average_service_ms);
   use.average_used += kReportWeight * (used - use.average_used);
-  server.load_slowness = std::clamp(service_ms / std::max(use.average_service_ms, 1.0),
-                                    kLowestSlowness, kHighestSlowness);
+  server.load_slowness =
+      std::clamp(service_ms / std::max(use.average_service_ms, 1.0), kMinSlowness, kMaxSlowness);
 }
 
 double EgressState::slowness(const Server& server, TimePoint now) const {
   const Duration half_life = settings_.slowness_half_life;
   const double observed = (server.slowness - 1.0) * leftAfter(now - server.slowness_at, half_life);
   const double reported = (server.load_slowness - 1.0) * leftAfter(now - server.load_at, half_life);
-  // The path to a server may be slow while the server is not.
+  // The observed latency includes the network path, which may be slow while the server is not.
   return 1.0 + (observed > std::max(reported, 0.0) ? observed : reported);
 }
 
@@ -232,22 +236,23 @@
   const double sample = latency_ms / std::max(use.average_latency_ms, 1.0);
   const double before = 1.0 + (server.slowness - 1.0) *
                                   leftAfter(now - server.slowness_at, settings_.slowness_half_life);
-  server.slowness =
-      before + weight * (std::clamp(sample, kLowestSlowness, kHighestSlowness) - before);
+  server.slowness = before + weight * (std::clamp(sample, kMinSlowness, kMaxSlowness) - before);
   server.slowness_at = now;
 }
 
 void EgressState::announceStop(TimePoint end) {
-  latest_answer_ = end - kStopReserve;
-  deadlines_.bringForward(latest_answer_);
+  stop_deadline_ = end - kStopReserve;
+  deadlines_.bringForward(stop_deadline_);
 }
 
 void EgressState::onReceipt(Duration latency) {
-  receipt_ms_ += settings_.slowness_weight * (toMillisecondsExact(latency) - receipt_ms_);
+  average_receipt_ms_ +=
+      settings_.slowness_weight * (toMillisecondsExact(latency) - average_receipt_ms_);
 }
 
 Duration EgressState::receiptTimeout(Duration target) const {
-  const Duration usual(static_cast<Duration::rep>(receipt_ms_ * kReceiptsWaited * 1000.0));
+  const Duration usual(
+      static_cast<Duration::rep>(average_receipt_ms_ * kReceiptTimeoutFactor * 1000.0));
   const Duration longest = std::max(settings_.receipt_timeout, target / 2);
   return std::clamp(usual, settings_.receipt_timeout, longest);
 }
--- a/src/egress/egress_state.h
+++ b/src/egress/egress_state.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// What all requests of one egress share: the configuration in force, the servers, the budgets.
+/// State that all requests of one egress share: the configuration in force, the known servers, the
+/// throttles, budgets and quotas.
 
 #include <algorithm>
 #include <cstdint>
@@ -32,24 +33,24 @@
   std::uint64_t answers_forwarded = 0;
   std::uint64_t answers_cut = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t repeats = 0;          ///< Attempts that a second server saw.
-  std::uint64_t repeats_denied = 0;   ///< For want of allowance.
-  std::uint64_t hop_refusals = 0;     ///< By ingresses: no server saw the request.
-  std::uint64_t server_refusals = 0;  ///< By servers, which did not run it.
-  std::uint64_t hop_failures = 0;     ///< Ingresses that could not be reached, or were lost.
-  std::uint64_t hop_silences = 0;     ///< Ingresses that did not say that they have a request.
-  std::uint64_t bad_answers = 0;      ///< Not this request's, unsigned, or not whole.
+  std::uint64_t repeats = 0;          ///< Attempts that showed a request to a further server.
+  std::uint64_t repeats_denied = 0;   ///< The retry budget was exhausted.
+  std::uint64_t hop_refusals = 0;     ///< By ingresses; no server saw the request.
+  std::uint64_t server_refusals = 0;  ///< By servers, which did not run the request.
+  std::uint64_t hop_failures = 0;     ///< Ingresses that were unreachable or lost the connection.
+  std::uint64_t hop_silences = 0;     ///< Ingresses that did not acknowledge a request in time.
+  std::uint64_t bad_answers = 0;      ///< For another request, unsigned, or malformed.
   std::uint64_t refused = 0;          ///< 503: not run.
-  std::uint64_t suspected = 0;        ///< Of these, since servers ended under such requests.
-  std::uint64_t throttled = 0;        ///< Of these, without asking an ingress: the service is full.
-  std::uint64_t unknown = 0;          ///< 502 and 504.
-  std::uint64_t no_route = 0;
-  std::uint64_t unauthenticated = 0;  ///< 401: no API key that a tenant holds.
-  std::uint64_t over_quota = 0;       ///< 429: beyond their tenant's quota.
+  std::uint64_t suspected = 0;        ///< Of these, refused as crash suspects.
+  std::uint64_t throttled = 0;        ///< Of these, refused by the AdmissionThrottle.
+  std::uint64_t unknown = 0;          ///< 502 and 504: the request may have run.
+  std::uint64_t no_route = 0;         ///< 404.
+  std::uint64_t unauthenticated = 0;  ///< 401: no API key that belongs to a tenant.
+  std::uint64_t over_quota = 0;       ///< 429: the tenant's quota is exceeded.
   std::uint64_t caller_gone = 0;
 };
 
-/// A snapshot made ready for routing.
+/// A configuration snapshot with its lookup tables.
 struct RoutingTable {
   RoutingTable(model::SnapshotPointer held, TimePoint in_force_since)
       : snapshot(std::move(held)),
@@ -62,13 +63,13 @@
   TimePoint since;  ///< When this version came into force here.
 };
 
-/// One service's state on this node.
+/// State of one service on this node.
 struct ServiceUse {
   std::map<std::uint32_t, AdmissionThrottle> throttles;  ///< By rank.
-  // Moving averages over all its servers; zero: none yet.
-  double average_latency_ms = 0;
-  double average_service_ms = 0;  ///< As ingresses report.
-  double average_used = 0;        ///< Requests that run or wait, by slot, as ingresses report.
+  // Exponential moving averages over all servers of the service; zero: no sample yet.
+  double average_latency_ms = 0;  ///< As measured here.
+  double average_service_ms = 0;  ///< As reported by ingresses.
+  double average_used = 0;  ///< Running and waiting requests per slot, as reported by ingresses.
 };
 
 class EgressState final : public proxy::ConnectionPolicy {
@@ -76,51 +77,54 @@
   /// `retries` and `environment` must outlive the state.
   EgressState(Settings settings, proxy::RetryAccounts& retries, Environment& environment);
 
-  /// Puts a snapshot in force for requests that start from now on. A lower version than the one in
-  /// force is refused (returns false).
+  /// Puts a snapshot in force for requests that start from now on. Returns false and ignores the
+  /// snapshot if its version is lower than the one in force.
   bool apply(model::SnapshotPointer snapshot);
   std::shared_ptr<const RoutingTable> routing() const { return routing_; }
   Version version() const { return routing_ ? routing_->snapshot->version : Version(); }
 
   ServerDirectory& directory() { return directory_; }
   const ServerDirectory& directory() const { return directory_; }
-  /// Call after the directory changed.
+  /// Must be called after each change of the directory.
   void onDirectoryChanged();
 
-  /// Nothing is sent to servers in these zones.
+  /// Sets the zones whose servers get no requests.
   void setDrainedZones(std::set<ZoneId> zones) { drained_zones_ = std::move(zones); }
   const std::set<ZoneId>& drainedZones() const { return drained_zones_; }
   /// Where a request may be sent.
   struct Destination {
     const ServiceName& service;
-    const std::vector<RegionId>& regions;         ///< Of the route. Empty: all.
-    const std::vector<RegionId>& tenant_regions;  ///< The same.
+    const std::vector<RegionId>& regions;         ///< Allowed by the route. Empty: all.
+    const std::vector<RegionId>& tenant_regions;  ///< Allowed by the tenant. Empty: all.
     bool namesRegions() const { return !regions.empty() || !tenant_regions.empty(); }
   };
-  /// Whether all its servers, at least one, stand in drained zones or in regions that are not its
-  /// own.
-  bool isBarred(const Destination& to) const;
-
-  /// The cheapest of a few servers of `to`, drawn at random from those outside `tried` that are not
-  /// avoided: some of the own zone, some of the others. One that is leaving only when there
-  /// is no other. Null when there is none.
+  /// Returns whether the service has servers, and all of them are in drained zones or outside the
+  /// allowed regions.
+  bool hasOnlyExcludedServers(const Destination& to) const;
+
+  /// Returns the cheapest of a random sample of the servers of `to`; null if there is none. The
+  /// sample takes some servers of the own zone and some of the other zones, without those in
+  /// `tried` and those that are being avoided. A leaving server is returned only if there is no
+  /// other.
   ///
-  /// `asks_own_zone`: a free slot is asked for, which costs next to nothing in the own zone, so
-  /// that a server there is chosen however busy it seems, unless it is too slow.
+  /// `asks_own_zone`: the request only asks for a free slot. Asking costs almost nothing in the own
+  /// zone, so a server there is preferred however busy it seems, unless it is too slow.
   ServerPointer pick(const Destination& to, const std::vector<EndpointId>& tried, TimePoint now,
                      bool asks_own_zone = false) const;
-  /// The server that all nodes with the same view choose for trials of this request; null when
-  /// there is none. Whatever its load: its ingress runs one trial at a time.
+  /// Returns the server for trials of this request; null if there is none. All nodes with the same
+  /// view choose the same one. Its load is ignored, as its ingress runs one trial at a time.
   ServerPointer pickForTrial(const Destination& to, RequestFingerprint request,
                              TimePoint now) const;
-  /// How dear it is to send the next request there; 1 is an idle server of this zone.
+  /// Returns the cost of sending the next request to `server`. An idle server of average speed in
+  /// the own zone costs 1.
   double cost(const Server& server, TimePoint now) const;
-  /// The same if it has a free slot.
+  /// Returns the cost under the assumption that the server has a free slot.
   double idleCost(const Server& server, TimePoint now) const;
-  /// The server's slowness now: one that was slow once is tried again.
+  /// Returns the server's slowness now (1: average). It decays towards 1, so that a server that was
+  /// slow once is tried again.
   double slowness(const Server& server, TimePoint now) const;
-  /// Requests of others that run or wait there now: what was reported, closer to the service's
-  /// average the older it is.
+  /// Returns the estimated number of requests of other nodes that run or wait at the server: the
+  /// reported number, weighted towards the service's average as the report ages.
   double usedByOthers(const Server& server, double slots, TimePoint now) const;
 
   void onReached(Server& server);
@@ -128,25 +132,26 @@
   void onLoad(Server& server, const proxy::HopLoad& load, TimePoint now);
   void onLatency(Server& server, ServiceUse& use, Duration latency, TimePoint now);
 
-  /// An ingress said after this time that it has a request, or was given up after it.
+  /// Called when an ingress acknowledged a request, or was given up as silent, after `latency`.
   void onReceipt(Duration latency);
-  /// How long to wait for that, for a request of this target: longer while all are slow.
+  /// Returns how long to wait for the acknowledgement of a request with this target latency. Longer
+  /// while all ingresses are slow.
   Duration receiptTimeout(Duration target) const;
 
   ServiceUse& use(const ServiceName& service) { return uses_[service]; }
   proxy::RetryAccounts& retries() { return retries_; }
-  /// Where the quotas of tenants are kept; null: they are not.
+  /// `quotas` may be null: quotas are not enforced.
   void setQuotas(admission::QuotaAccounts* quotas) { quotas_ = quotas; }
   admission::QuotaAccounts* quotas() { return quotas_; }
-  /// Which requests may not run since servers ended under them; null: all may.
+  /// `suspects` may be null: no request is refused as a crash suspect.
   void setSuspects(const admission::CrashSuspects* suspects) { suspects_ = suspects; }
   admission::CrashVerdict verdict(RequestFingerprint request, TimePoint now) const;
-  /// When a request that may not run now should come back.
+  /// Returns the retry delay for a crash suspect that may not run now.
   Duration suspectRetryAfter(RequestFingerprint request, TimePoint now) const;
   TrafficSplit& split() { return split_; }
   proxy::DeadlineQueue& deadlines() { return deadlines_; }
   const Settings& settings() const { return settings_; }
-  /// For requests and attempts that begin from now on.
+  /// Applies to requests and attempts that start from now on.
   void changeSettings(Settings settings) { settings_ = std::move(settings); }
   Statistics& statistics() { return statistics_; }
   /// `log` may be null.
@@ -157,21 +162,22 @@
   void note(proxy::ServerChange change, const EndpointId& server) const {
     if (log_ != nullptr) log_->onServerChange(change, server);
   }
-  /// `age` ago the source had no newer version than the one held.
+  /// Records that the version in force was the source's newest one `age` ago.
   void confirmConfiguration(Duration age = Duration(0)) {
     configuration_confirmed_ = std::max(configuration_confirmed_, environment_.now() - age);
   }
-  /// How long ago that was; the time since the clock's start if it never was known.
+  /// Returns how long ago the version in force was last known to be the newest one; the time since
+  /// the start of the clock if it never was.
   Duration configurationAge() const { return environment_.now() - configuration_confirmed_; }
-  /// Whether that was too long ago to tell that a route does not exist.
+  /// Returns whether that was too long ago to conclude that a route does not exist.
   bool mayHaveMissedVersion() const;
 
-  /// A planned stop of this node began: requests are answered before `end`, when the process goes
-  /// and would cut them.
+  /// Announces a planned stop of this node. All requests are answered before `end`, when the
+  /// process exits and would cut them.
   void announceStop(TimePoint end);
-  bool isStopping() const { return latest_answer_ != TimePoint::max(); }
-  /// By when every request is answered; the end of time without a stop.
-  TimePoint latestAnswer() const { return latest_answer_; }
+  bool isStopping() const { return stop_deadline_ != TimePoint::max(); }
+  /// Time by which every request must be answered; TimePoint::max() without a planned stop.
+  TimePoint stopDeadline() const { return stop_deadline_; }
   std::size_t& inFlight() { return in_flight_; }
   std::size_t inFlight() const { return in_flight_; }
 
@@ -183,10 +189,10 @@
  private:
   bool isAllowed(const Server& server, const Destination& to) const;
   using Candidates = std::vector<const ServerPointer*>;
-  /// Draws servers_compared of each group.
-  /// `busyness`: what its use costs; 1 is an idle server.
+  /// Returns the cost of a server at this load factor (1: idle).
   double costWhen(const Server& server, double busyness, TimePoint now) const;
-  ServerPointer cheapestOfDrawn(Candidates& group, TimePoint now) const;
+  /// Returns the cheapest of `servers_compared` servers that are drawn at random from `group`.
+  ServerPointer cheapestOfSample(Candidates& group, TimePoint now) const;
   void learnFromReport(Server& server, const proxy::HopLoad& load);
 
   Settings settings_;
@@ -204,8 +210,8 @@
   Statistics statistics_;
   proxy::DecisionLog* log_ = nullptr;
   std::size_t in_flight_ = 0;
-  double receipt_ms_ = 0;  ///< Moving average.
-  TimePoint latest_answer_ = TimePoint::max();
+  double average_receipt_ms_ = 0;  ///< Moving average of the time until the acknowledgement.
+  TimePoint stop_deadline_ = TimePoint::max();
 };
 
 }  // namespace coursepond::egress
--- a/src/egress/server_directory.cpp
+++ b/src/egress/server_directory.cpp
@@ -34,7 +34,7 @@
     if (!lapsed_at) return false;
     const TimePoint due = *lapsed_at + settings_.lapse_hold;
     if (due <= now) {
-      tell(proxy::ServerChange::kForgotten, item.first);
+      notify(proxy::ServerChange::kForgotten, item.first);
       return true;
     }
     if (!next || due < *next) next = due;
@@ -50,10 +50,10 @@
   const bool was_listed = server && !server->lapsed_at;
   const bool was_draining = server && server->draining();
   const bool is_changed = !server || server->entry != entry;
-  const bool is_another =
+  const bool is_new_start =
       !server || server->entry.address != entry.address || !isSameStart(server->entry, entry);
-  const Duration cold_before = is_another ? Duration(0) : server->entry.warm_up_left;
-  if (is_another) server = std::make_shared<Server>();
+  const Duration cold_before = is_new_start ? Duration(0) : server->entry.warm_up_left;
+  if (is_new_start) server = std::make_shared<Server>();
   if (entry.warm_up_left > cold_before) server->cold_until = now + entry.warm_up_left;
   server->entry = entry;
   if (is_changed) server->entry_since = now;
@@ -61,9 +61,9 @@
   server->ingress = {
       entry.id, {entry.address.host, settings_.ingress_port}, entry.zone, entry.state};
   if (server->draining()) {
-    if (!was_draining) tell(proxy::ServerChange::kLeaving, entry.id);
+    if (!was_draining) notify(proxy::ServerChange::kLeaving, entry.id);
   } else if (!was_listed) {
-    tell(proxy::ServerChange::kListed, entry.id);
+    notify(proxy::ServerChange::kListed, entry.id);
   }
 }
 
@@ -72,10 +72,10 @@
   if (found == servers_.end()) return;
   if (found->second->draining()) {
     servers_.erase(found);
-    tell(proxy::ServerChange::kForgotten, id);
+    notify(proxy::ServerChange::kForgotten, id);
   } else if (!found->second->lapsed_at) {
     found->second->lapsed_at = now;
-    tell(proxy::ServerChange::kLapsed, id);
+    notify(proxy::ServerChange::kLapsed, id);
   }
 }
 
@@ -92,8 +92,9 @@
     if (server->draining()) continue;
     (server->lapsed_at ? lapsed : usable_)[server->entry.service].push_back(server);
   }
-  // Entries lapse in numbers while the source is away; one that lapses beside others has most
-  // likely ended. So only services without any listed server take theirs from the lapsed ones.
+  // While the source is unavailable, many entries lapse at once. A single entry that lapses while
+  // others of its service remain listed most likely belongs to a server that has ended. So lapsed
+  // servers are used only for services without any listed server.
   usable_.merge(lapsed);
   for (auto& [service, servers] : usable_) {
     std::sort(servers.begin(), servers.end(),
--- a/src/egress/server_directory.h
+++ b/src/egress/server_directory.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The servers that this egress knows, and what it observed of each and of the ingress beside it.
+/// The servers that this egress knows, with its observations of each server and of the ingress
+/// beside it.
 
 #include <cstdint>
 #include <functional>
@@ -18,24 +19,24 @@
 
 namespace coursepond::egress {
 
-/// One server behind its ingress. Requests that use it hold a pointer, so that it outlives its
-/// removal from the directory.
+/// One server and its ingress. Requests hold a pointer to the server that they use, so that it
+/// outlives its removal from the directory.
 struct Server {
   model::ServerEntry entry;
-  model::Endpoint ingress;  ///< Named by the server's id; the address is the ingress's.
-  std::uint32_t in_flight = 0;
+  model::Endpoint ingress;      ///< Has the server's id and the address of the ingress.
+  std::uint32_t in_flight = 0;  ///< Requests of this node.
   std::uint32_t in_flight_at_report = 0;
-  proxy::HopLoad load;         ///< As last reported; slots zero: never.
-  TimePoint load_at;           ///< When it was.
-  double load_slowness = 1.0;  ///< The reported service time as a part of its service's average.
-  double slowness = 1.0;       ///< Its latency as a part of its service's average, as of
-  TimePoint slowness_at;       ///< this time; from then on it drifts back to 1.
-  std::uint32_t failures = 0;  ///< To reach it, in a row.
+  proxy::HopLoad load;         ///< Last reported load; zero slots: none reported yet.
+  TimePoint load_at;           ///< When `load` was reported.
+  double load_slowness = 1.0;  ///< Reported service time relative to the service's average.
+  double slowness = 1.0;       ///< Observed latency relative to the service's average, as of
+  TimePoint slowness_at;       ///< this time; it decays towards 1 afterwards.
+  std::uint32_t failures = 0;  ///< Consecutive failures to reach the ingress.
   TimePoint avoid_until;
-  std::optional<TimePoint> lapsed_at;  ///< Its entry went; see Settings::lapse_hold.
-  TimePoint leaving_until;  ///< Its ingress said so: used only when nothing else is left.
+  std::optional<TimePoint> lapsed_at;  ///< When its entry lapsed; see Settings::lapse_hold.
+  TimePoint leaving_until;  ///< Its ingress reported draining: used only if no other is left.
   TimePoint cold_until;
-  TimePoint entry_since;  ///< When its entry last changed here.
+  TimePoint entry_since;  ///< When the entry last changed in this directory.
 
   bool avoided(TimePoint now) const { return now < avoid_until; }
   bool leaving(TimePoint now) const { return now < leaving_until; }
@@ -46,34 +47,36 @@
 
 class ServerDirectory {
  public:
-  /// Told of each server that comes, leaves or goes.
+  /// Called for each server that is listed, starts to leave, lapses or is forgotten.
   using ChangeHandler = std::function<void(proxy::ServerChange, const EndpointId&)>;
 
   explicit ServerDirectory(const Settings& settings, ChangeHandler on_change = nullptr)
       : settings_(settings), on_change_(std::move(on_change)) {}
 
-  /// Takes in one entry; an older one than is held is ignored.
+  /// Adds or updates one entry. An entry with a lower revision than the known one is ignored.
   void upsert(const model::ServerEntry& entry, TimePoint now);
-  /// A server that said it was leaving is forgotten; another lapses.
+  /// Called when an entry was removed: a leaving server is forgotten, any other one lapses.
   void remove(const EndpointId& id, TimePoint now);
-  /// Both for many at once.
+  /// Applies many upserts and removals at once.
   void update(const std::vector<model::ServerEntry>& entries,
               const std::vector<EndpointId>& removed, TimePoint now);
-  /// Removes what `entries` doesn't list, and takes in the rest.
+  /// Replaces the known servers: removes those that are not in `entries` and upserts the others.
   void replaceAll(const std::vector<model::ServerEntry>& entries, TimePoint now);
-  /// Forgets servers that lapsed long enough ago. Returns when to call again, if any are left.
+  /// Forgets servers that lapsed at least Settings::lapse_hold ago. Returns when the next one is
+  /// due; nothing if no lapsed server is left.
   std::optional<TimePoint> forgetLapsed(TimePoint now);
 
-  /// Servers that may take new work, by id; lapsed ones only when no other is left.
+  /// Returns the servers that may get new requests, ordered by id. Lapsed servers are included only
+  /// if the service has no listed one.
   const std::vector<ServerPointer>& usable(const ServiceName& service) const;
   const std::unordered_map<EndpointId, ServerPointer>& all() const { return servers_; }
 
  private:
-  // These leave usable_ to be rebuilt, once for each change as a whole.
+  // put() and drop() do not update usable_: callers call rebuild() once after all changes.
   void put(const model::ServerEntry& entry, TimePoint now);
   void drop(const EndpointId& id, TimePoint now);
   void rebuild();
-  void tell(proxy::ServerChange change, const EndpointId& id) const {
+  void notify(proxy::ServerChange change, const EndpointId& id) const {
     if (on_change_) on_change_(change, id);
   }
 
--- a/src/egress/settings.h
+++ b/src/egress/settings.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Settings of the egress: the first of two hops, which takes its machine's requests and sends each
-/// to the ingress beside the server that is to run it.
+/// Settings of the egress: the first of two hops. It accepts the requests of its own machine and
+/// sends each one to the ingress beside the server that is to run it.
 
 #include <cstdint>
 #include <map>
@@ -16,73 +16,76 @@
 
 struct Settings {
   ZoneId own_zone;
-  /// Of every zone that has one, for routes that name regions.
+  /// Region of each zone that has one, for routes and tenants that name regions.
   std::map<ZoneId, RegionId> zone_regions;
-  ServiceName own_service;         ///< Told to servers as the caller.
+  ServiceName own_service;         ///< Sent to servers as the caller's service.
   std::uint16_t ingress_port = 0;  ///< The same on every machine.
 
-  /// Whether a success without a server's signature is no answer.
+  /// Whether a successful answer is invalid without a signature of the server.
   bool expects_signature = false;
-  /// Kept back from the deadline that is sent on, so that the answer of the next hop still arrives.
+  /// Subtracted from the deadline that is sent to the next hop, so that its answer arrives in time.
   Duration deadline_reserve = std::chrono::milliseconds(3);
-  /// Kept back from the end of a planned stop: a server that gives up at its deadline still says so
-  /// in time, through two nodes that may stand still for a tenth of a second.
+  /// Time reserved before the end of a planned stop. A server that gives up at its deadline can
+  /// then still report that in time through two nodes, which may be paused for 100 ms.
   Duration stop_reserve = std::chrono::milliseconds(150);
   Duration longest_deadline = std::chrono::seconds(60);
-  /// Target latency of routes that name none.
+  /// Target latency of routes that define none.
   Duration default_target = std::chrono::seconds(1);
 
-  /// Servers of the own zone, and as many of the others, drawn at random, of which a request takes
-  /// the cheapest. Nodes that compared all would send to the same few at once, on reports that are
-  /// older than a service time.
+  /// Number of servers that are drawn at random from the own zone, and again from the other zones;
+  /// a request goes to the cheapest of them. If nodes compared all servers, they would all send to
+  /// the same few at once, because reports are older than a service time.
   std::size_t servers_compared = 2;
-  /// Added to a server's cost for another zone: bytes between zones are dear.
+  /// Added to the cost of a server in another zone, because traffic between zones is expensive.
   double remote_zone_cost = 0.8;
-  /// From this part of its slots on, a server's cost rises.
+  /// Share of used slots from which on a server's cost rises.
   double busy_from = 0.6;
-  /// Cost of a server whose slots are all taken, beyond that of an idle one.
+  /// Added to the cost of a server whose slots are all taken.
   double busy_cost = 1.0;
-  /// Cost of each further full turn of waiting requests.
+  /// Added to the cost for each further set of waiting requests that would fill all slots.
   double waiting_cost = 2.5;
-  /// Weight of one sample in a server's slowness.
+  /// Weight of one sample in the moving averages of latency, slowness and acknowledgement time.
   double slowness_weight = 0.1;
-  /// Without samples, a server's slowness halves its distance to the average in this time.
+  /// Half-life of the decay of a server's slowness towards the average when there are no samples.
   Duration slowness_half_life = std::chrono::seconds(2);
 
   SlotSearchSettings slots;
 
-  /// Per service and rank.
+  /// For the throttle of each service and rank.
   ThrottleSettings throttle;
-  /// Ingresses that may stay silent on one request before it is given up, or waited for where it
-  /// may run. Silence of several is a fleet that is slow, which more messages make slower.
+  /// Number of silent ingresses after which a request is not sent to another one. If it certainly
+  /// has not run, it is given up; otherwise its answer is awaited. When several ingresses are
+  /// silent, the whole fleet is slow, and more messages would make it slower.
   std::uint32_t most_silent_ingresses = 2;
-  /// An ingress that has not said within this that it has a request counts as silent. Longer while
-  /// all ingresses are slow: see EgressState::receiptTimeout().
+  /// An ingress that does not acknowledge a request within this time counts as silent. The timeout
+  /// grows while all ingresses are slow; see EgressState::receiptTimeout().
   Duration receipt_timeout = std::chrono::milliseconds(250);
-  /// Pause after a server's ingress could not be reached; doubles up to the longest.
+  /// Time for which a server is avoided after its ingress could not be reached. Doubles with each
+  /// further failure up to `longest_avoid`.
   Duration avoid = std::chrono::milliseconds(150);
   Duration longest_avoid = std::chrono::seconds(1);
-  /// Pause after an ingress said that it takes no new work.
+  /// Time for which a server is avoided after its ingress reported that it is draining.
   Duration avoid_draining = std::chrono::milliseconds(500);
 
-  /// A server whose entry went without a word of leaving is used for so long when its service has
-  /// no other: entries also lapse while the source is away, and come back with the next heartbeat.
+  /// How long a server stays usable after its entry disappeared without a leaving state, if its
+  /// service has no other server. Entries also lapse while the source is unavailable, and return
+  /// with the next heartbeat.
   Duration lapse_hold = std::chrono::milliseconds(1400);
-  /// How long a request waits for the first configuration of a node that has just started.
-  Duration configuration_patience = std::chrono::milliseconds(150);
-  /// A node that has heard nothing of the configuration for longer than this may have missed a
-  /// version: it does not say that a route does not exist (404), but that it cannot tell now (503).
-  /// Zero: it always says it.
+  /// How long a request waits for the first configuration on a node that has just started.
+  Duration configuration_wait = std::chrono::milliseconds(150);
+  /// If the configuration was not confirmed as the newest for longer than this, the node may have
+  /// missed a version. A request without a route or with an unknown API key then gets 503 in place
+  /// of 404 or 401. Zero: never.
   Duration configuration_certain_for{};
-  /// How often a request without a server looks for one again,
-  Duration look_again = std::chrono::milliseconds(30);
-  /// and for which part of its target latency at most.
+  /// Interval at which a request without a server (or configuration) checks again for one.
+  Duration server_poll_interval = std::chrono::milliseconds(30);
+  /// Maximum time for which a request waits for a server, as a fraction of its target latency.
   double patience = 0.2;
 
   Duration shortest_retry_after = std::chrono::milliseconds(100);
   Duration default_retry_after = std::chrono::milliseconds(400);
-  /// For a request that ends servers, and is not tried any more.
-  Duration crasher_retry_after = std::chrono::minutes(5);
+  /// Retry delay for a crash suspect that has no further trials.
+  Duration crash_suspect_retry_after = std::chrono::minutes(5);
 };
 
 }  // namespace coursepond::egress
--- a/src/egress/slot_search.cpp
+++ b/src/egress/slot_search.cpp
@@ -5,11 +5,11 @@
 namespace coursepond::egress {
 namespace {
 
-/// By so many service times the queue of a rejecting server counts as longer: with one, it still
-/// was the shortest when all others were just full.
-constexpr int kRejectingTurns = 4;
-/// Rejecting servers that may turn away a call beside the ingresses that have no room.
-constexpr std::uint32_t kMostTurnedAway = 3;
+/// Number of service times that are added to the expected wait at a rejecting server. With one, it
+/// still had the shortest queue when all other servers were just full.
+constexpr int kRejectingPenaltyServiceTimes = 4;
+/// Number of rejecting servers that a call may skip without counting them as refusals.
+constexpr std::uint32_t kMaxRejectingSkips = 3;
 
 }  // namespace
 
@@ -18,21 +18,22 @@
   return other_zone_asks_ < settings_.other_zone_asks;
 }
 
-void SlotSearch::onNoRoom(const ServerPointer& server, const proxy::HopLoad& load) {
-  noteQueue(server, load, Duration(0));
+void SlotSearch::onFull(const ServerPointer& server, const proxy::HopLoad& load) {
+  considerQueue(server, load, Duration(0));
 }
 
 void SlotSearch::onRejecting(const ServerPointer& server, const proxy::HopLoad& load) {
-  // A call that waits nowhere fails the work that made it.
-  if (is_call_ && ++turned_away_ <= kMostTurnedAway) return;
-  noteQueue(server, load, kRejectingTurns * load.service_time);
+  // A call that finds no place to wait fails the request that made it, so the first few rejecting
+  // servers do not use up its attempts.
+  if (is_call_ && ++rejecting_skips_ <= kMaxRejectingSkips) return;
+  considerQueue(server, load, kRejectingPenaltyServiceTimes * load.service_time);
 }
 
-void SlotSearch::noteQueue(const ServerPointer& server, const proxy::HopLoad& load,
-                           Duration longer_by) {
+void SlotSearch::considerQueue(const ServerPointer& server, const proxy::HopLoad& load,
+                               Duration longer_by) {
   ++refusals_;
   if (load.slots == 0 || has_joined_) return;
-  // With the time until it is done there, so that faster servers go before slower ones.
+  // Includes the service time of the request itself, so that faster servers are preferred.
   const Duration turn = load.service_time / load.slots;
   const Duration wait = turn * (load.running + load.waiting + 1) + longer_by;
   if (shortest_ && shortest_wait_ <= wait) return;
--- a/src/egress/traffic_split.cpp
+++ b/src/egress/traffic_split.cpp
@@ -16,27 +16,27 @@
 
 const ServiceName& TrafficSplit::next(const model::Route& route) {
   if (route.split.empty()) return route.service;
-  Turn& turn = turns_[route.name];
-  if (turn.split != route.split) restart(turn, route);
-  return route.split[step(turn)].service;
+  RouteState& state = route_states_[route.name];
+  if (state.split != route.split) restart(state, route);
+  return route.split[step(state)].service;
 }
 
-void TrafficSplit::restart(Turn& turn, const model::Route& route) const {
-  turn.split = route.split;
-  turn.current.assign(route.split.size(), 0);
+void TrafficSplit::restart(RouteState& state, const model::Route& route) const {
+  state.split = route.split;
+  state.current.assign(route.split.size(), 0);
   const std::int64_t sum = weightSum(route.split);
-  // Nodes that begin together would otherwise all begin with the same part.
+  // Otherwise, nodes that start at the same time would all begin with the same service.
   const std::uint64_t skipped = sum > 0 ? start_ % static_cast<std::uint64_t>(sum) : 0;
-  for (std::uint64_t turns = 0; turns < skipped; ++turns) step(turn);
+  for (std::uint64_t turns = 0; turns < skipped; ++turns) step(state);
 }
 
-std::size_t TrafficSplit::step(Turn& turn) {
+std::size_t TrafficSplit::step(RouteState& state) {
   std::size_t best = 0;
-  for (std::size_t part = 0; part < turn.split.size(); ++part) {
-    turn.current[part] += turn.split[part].weight;
-    if (turn.current[part] > turn.current[best]) best = part;
+  for (std::size_t part = 0; part < state.split.size(); ++part) {
+    state.current[part] += state.split[part].weight;
+    if (state.current[part] > state.current[best]) best = part;
   }
-  turn.current[best] -= weightSum(turn.split);
+  state.current[best] -= weightSum(state.split);
   return best;
 }
 
--- a/src/egress/traffic_split.h
+++ b/src/egress/traffic_split.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Divides a route's requests among services by weight: smooth weighted round robin, so that every
-/// run of requests has the shares it should have, up to one request per part.
+/// Splits a route's requests among services by weight with smooth weighted round robin. In every
+/// sequence of requests, each service gets its share with an error of at most one request.
 
 #include <cstdint>
 #include <string>
@@ -15,22 +15,22 @@
 
 class TrafficSplit {
  public:
-  /// `start` (any number) makes the first choices of several nodes differ.
+  /// `start` is an arbitrary number that makes the first choices differ between nodes.
   explicit TrafficSplit(std::uint64_t start) : start_(start) {}
 
-  /// The service for the next request of `route`.
+  /// Returns the service for the next request of `route`.
   const ServiceName& next(const model::Route& route);
 
  private:
-  struct Turn {
-    std::vector<model::WeightedService> split;  ///< That `current` belongs to.
-    std::vector<std::int64_t> current;
+  struct RouteState {
+    std::vector<model::WeightedService> split;  ///< The split that `current` belongs to.
+    std::vector<std::int64_t> current;          ///< Current weight of each service.
   };
-  void restart(Turn& turn, const model::Route& route) const;
-  static std::size_t step(Turn& turn);
+  void restart(RouteState& state, const model::Route& route) const;
+  static std::size_t step(RouteState& state);
 
   std::uint64_t start_;
-  std::unordered_map<RouteName, Turn> turns_;
+  std::unordered_map<RouteName, RouteState> route_states_;
 };
 
 }  // namespace coursepond::egress
--- a/src/ingress/average_by_target.h
+++ b/src/ingress/average_by_target.h
@@ -7,14 +7,15 @@
 
 namespace coursepond::ingress {
 
-/// A moving average for each target latency: requests of one target are mostly of one kind.
+/// Exponential moving averages, one for each target latency. Requests with the same target latency
+/// are mostly of the same kind.
 class AverageByTarget {
  public:
-  /// `weight`: the part of the new average that this sample makes up. A target's first is taken
-  /// whole.
+  /// `weight`: share of this sample in the new average. The first sample of a target becomes its
+  /// average.
   void add(Duration target, double sample, double weight) {
     const bool is_new = !averages_.contains(target);
-    if (is_new && averages_.size() >= kMostTargets) return;
+    if (is_new && averages_.size() >= kMaxTargets) return;
     double& average = averages_.try_emplace(target, sample).first->second;
     average += weight * (sample - average);
   }
@@ -24,8 +25,9 @@
   }
 
  private:
-  /// Targets come from the configuration's routes; more are not told apart.
-  static constexpr std::size_t kMostTargets = 64;
+  /// Upper bound for the number of targets, which come from the configured routes. Samples of
+  /// further targets are dropped.
+  static constexpr std::size_t kMaxTargets = 64;
 
   std::map<Duration, double> averages_;
 };
--- a/src/ingress/cold_start.h
+++ b/src/ingress/cold_start.h
@@ -1,18 +1,17 @@
 #pragma once
 
-/// How fast the own server may be sent requests while it is cold.
+/// Limits the rate of requests to the ingress's server while the server is cold, that is, has just
+/// started or has become cold while it was idle.
 ///
-/// Answers the load of a server that has just started, or turned cold while it had nothing to do,
-/// when callers come at once: it bears only so many requests a second until it is warm, and well
-/// above that it crashes, starts cold again and is overloaded again. A fleet that lost power never
-/// recovers that way: played in virtual time (fleet_load_test), 0.46 of the worth of twenty seconds
-/// without this bound, 0.87 with it. The bound is one of requests sent in any second, whatever
-/// slots are free and however short the requests are, and the ingress alone sends to its server: so
-/// it is kept here, exactly, on arrival and from the queue alike.
+/// A cold server handles only a limited number of requests per second until it is warm. Well above
+/// that rate it crashes, starts cold again and is overloaded again, so that a fleet would never
+/// recover from a power loss. The limit is the number of requests sent in any second, independent
+/// of free slots and of the duration of requests. Only the ingress sends to its server, so it
+/// enforces the limit exactly, both for arriving requests and for those from the queue.
 ///
-/// Whether the server is cold is learned from its listed entry, from its own word where it is
-/// asked, and suspected where neither was heard since something may have changed: then it counts as
-/// cold until it says otherwise, or has had the time to warm up.
+/// Whether the server is cold is known from its listed entry and from its answers to health checks.
+/// If something may have changed since the last such report, the server is suspected to be cold. It
+/// then counts as cold until it reports otherwise or its warm-up time has passed.
 
 #include <cstddef>
 #include <deque>
@@ -23,33 +22,38 @@
 namespace coursepond::ingress {
 
 struct ColdStartSettings {
-  /// Requests in a second that a cold server may be sent, as a multiple of what it bears for long,
+  /// Maximum rate for a cold server, as a multiple of the rate that it can sustain.
   double overshoot = 1.0;
-  /// and so many beyond that.
+  /// Number of requests that are allowed in any second on top of that.
   double burst = 0;
 };
 
 class ColdStart {
  public:
-  /// What the service's configuration says: requests a second that a cold server bears (zero: as
-  /// many as a warm one), and how long it stays cold after a start. Before the first call, a server
-  /// that is suspected gets the burst alone in each second, if the settings name one: after a loss
-  /// of power, requests of others arrive before the first configuration does.
+  /// Sets the limits from the service's configuration: the requests per second that a cold server
+  /// can sustain (zero: no limit), and how long it stays cold after a start. Before the first call,
+  /// a suspected server gets only the burst in each second, if the settings define one: after a
+  /// power loss, requests from other nodes arrive before the first configuration does.
   void setLimits(double rate, Duration warm_up) { limits_ = Limits{rate, warm_up}; }
 
-  /// The server may have turned cold while it ran: it counts as cold until onTold().
+  /// Called when the server may have become cold while it ran. It counts as cold until
+  /// onWarmUpReported() says otherwise or its warm-up time has passed.
   void suspectTurnedCold(TimePoint now);
-  /// What was sent to it at `sent` found that a connection was lost or refused, so that it may have
-  /// started anew since then: it counts as cold until onTold() or onAnswered() says otherwise.
-  void suspectStartedAnew(TimePoint sent, TimePoint now);
-  /// It answered a request that was sent at `sent`. If that was before all that was lost had been
-  /// sent, it is the same start. Requests sent later may have met the next start already, where a
-  /// loss is found late. Without this, servers that lose a part of their answers, at which
-  /// connections are lost all the time, would get no more than cold ones.
+  /// Called when a request that was sent at `sent` failed with a lost or refused connection, so
+  /// that the server may have restarted since then. It counts as cold until onWarmUpReported() or
+  /// onAnswered() says otherwise or its warm-up time has passed.
+  void suspectRestarted(TimePoint sent, TimePoint now);
+  /// Called when the server answered a request that was sent at `sent`. If that was before any of
+  /// the lost requests had been sent, the server has not restarted, and the suspicion is cleared. A
+  /// request that was sent later proves nothing: if a loss is detected late, it may have reached
+  /// the restarted server already. Without this rule, a server that keeps losing single answers,
+  /// and thereby connections, would permanently be limited to the rate of a cold server.
   void onAnswered(TimePoint sent);
-  /// It stays cold for `left` from now; zero: it is warm.
-  void onTold(Duration left, TimePoint now);
-  /// Nothing is known since it was suspected: asking the server is worth it.
+  /// Called when the server's entry or health check reports that it stays cold for `left` from now;
+  /// zero: it is warm.
+  void onWarmUpReported(Duration left, TimePoint now);
+  /// Returns whether the server counts as cold only on suspicion, so that a health check would
+  /// help.
   bool isSuspected(const ColdStartSettings& settings, TimePoint now) const {
     return is_suspected_ && isCold(settings, now);
   }
@@ -57,20 +61,20 @@
     return isBounded(settings) && now < coldUntil();
   }
 
-  /// When the next request may be sent; not after `now` when one may be sent at once.
+  /// Returns when the next request may be sent; `now` or earlier if one may be sent at once.
   TimePoint nextStart(const ColdStartSettings& settings, TimePoint now) const;
   bool mayStart(const ColdStartSettings& settings, TimePoint now) const {
     return nextStart(settings, now) <= now;
   }
-  /// A request was sent. To be told of those to a warm server as well: it may turn cold within the
-  /// same second.
+  /// Must be called for each request that is sent to the server, also while it is warm, because it
+  /// may become cold within the same second.
   void onStarted(const ColdStartSettings& settings, TimePoint now);
-  /// Requests that a cold server may be sent in one second.
-  std::size_t mostStarts(const ColdStartSettings& settings) const;
+  /// Returns the number of requests that may be sent to a cold server in any second.
+  std::size_t maxStartsPerSecond(const ColdStartSettings& settings) const;
 
  private:
   struct Limits {
-    double rate = 0;  ///< Requests a second.
+    double rate = 0;  ///< Requests per second.
     Duration warm_up{};
   };
 
@@ -79,13 +83,14 @@
   }
   TimePoint coldUntil() const;
 
-  std::optional<Limits> limits_;  ///< Nothing before the first configuration.
+  std::optional<Limits> limits_;  ///< Empty before the first configuration.
   bool is_suspected_ = false;
   TimePoint suspected_at_;
-  /// An answer to what was sent before this settles the doubt; nothing when none does.
-  std::optional<TimePoint> settled_before_;
+  /// The suspicion is cleared by an answer to a request that was sent before this time; empty: no
+  /// answer clears it.
+  std::optional<TimePoint> cleared_if_sent_before_;
   TimePoint cold_until_;
-  std::deque<TimePoint> starts_;  ///< The last mostStarts(), oldest first.
+  std::deque<TimePoint> starts_;  ///< Send times of the last maxStartsPerSecond() requests.
 };
 
 }  // namespace coursepond::ingress
--- a/src/ingress/ingress_flow.cpp
+++ b/src/ingress/ingress_flow.cpp
@@ -19,7 +19,7 @@
 constexpr int kBadGateway = 502;
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
-constexpr Duration kLeastRemaining = std::chrono::milliseconds(1);
+constexpr Duration kMinRemaining = std::chrono::milliseconds(1);
 const ServiceName kOwnServer("own");
 
 class IngressFlow final : public proxy::Exchange, private Waiter, private proxy::DeadlineEntry {
@@ -54,7 +54,7 @@
   RequestFingerprint fingerprint() const {
     return head_.hop_class ? head_.hop_class->fingerprint : RequestFingerprint();
   }
-  bool passesSuspicion(TimePoint now);
+  bool passesCrashSuspectCheck(TimePoint now);
   WaitBounds waitBounds(TimePoint now) const;
   void attempt(TimePoint now);
   bool expectsLarge() const {
@@ -81,13 +81,13 @@
   proxy::RequestIo& io_;
   Phase phase_ = Phase::kNew;
   AttemptId attempt_ = 0;
-  std::string instance_;  ///< That the current attempt is for.
+  std::string instance_;  ///< Server instance that the current attempt is for.
   proxy::ServerRun run_;
   bool has_slot_ = false;
-  bool runs_large_ = false;   ///< It is counted among those whose answer will be large.
-  bool sends_large_ = false;  ///< Its answer is large, and not sent yet.
+  bool runs_large_ = false;   ///< Counted as running with an expected large answer.
+  bool sends_large_ = false;  ///< Counted as sending a large answer.
   bool may_have_run_ = false;
-  bool is_trial_ = false;  ///< The one of its fingerprint that is here.
+  bool is_trial_ = false;  ///< The only trial of its fingerprint at this ingress.
   bool was_answered_ = false;
   TimePoint started_;
   TimePoint deadline_;
@@ -100,13 +100,13 @@
   started_ = now;
   phase_ = Phase::kWaiting;
   if (const auto refusal = state_.refusal(head_.hop_class)) return conclude(*refusal, now);
-  if (!passesSuspicion(now)) return conclude(Reason::kCrashesServers, now);
+  if (!passesCrashSuspectCheck(now)) return conclude(Reason::kCrashesServers, now);
   const Settings& settings = state_.settings();
   const Duration allowed =
       std::min(head_.deadline.value_or(settings.longest_deadline), settings.longest_deadline);
   if (allowed <= Duration(0)) return conclude(Reason::kDeadline, now);
   deadline_ = now + allowed;
-  if (state_.mightBeCut(deadline_)) return conclude(Reason::kStopping, now);
+  if (state_.mayOutlastStop(deadline_)) return conclude(Reason::kStopping, now);
   const proxy::HopClass hop = head_.hop_class.value_or(proxy::HopClass{});
   target = hop.target_latency > Duration(0) ? hop.target_latency : settings.default_target;
   rank = hop.rank;
@@ -118,7 +118,7 @@
   tenant = TenantName(head_.tenant);
   run_.tenant = tenant;
   if (!state_.retries().admit(run_)) return conclude(Reason::kRetryBudget, now);
-  const bool is_behind = state_.largeAnswers().isBehind(settings.large_answers);
+  const bool is_behind = state_.largeAnswers().isLinkBacklogged(settings.large_answers);
   if (is_behind && expectsLarge()) return conclude(Reason::kLinkFull, now);
   const WaitBounds bounds = waitBounds(now);
   if (!hop.may_wait && !state_.hasSlotFor(now)) return conclude(Reason::kNoFreeSlot, now);
@@ -128,7 +128,7 @@
   if (phase_ == Phase::kWaiting) state_.deadlines().arm(*this, std::min(bounds.slot, deadline_));
 }
 
-bool IngressFlow::passesSuspicion(TimePoint now) {
+bool IngressFlow::passesCrashSuspectCheck(TimePoint now) {
   if (state_.isSuspect(head_.hop_class, now)) return false;
   const bool wants_trial = head_.hop_class && head_.hop_class->is_trial;
   if (wants_trial) is_trial_ = state_.beginTrial(fingerprint());
@@ -144,7 +144,7 @@
 
 void IngressFlow::onSlot(TimePoint now) {
   has_slot_ = true;
-  // Servers may have ended under such requests while this one waited.
+  // The request may have become a crash suspect while it waited.
   if (state_.isSuspect(head_.hop_class, now)) return conclude(Reason::kCrashesServers, now);
   runs_large_ = expectsLarge();
   if (runs_large_) state_.largeAnswers().onRunning();
@@ -165,7 +165,7 @@
   plan.target_instance = state_.instanceOr(head_.target_instance);
   plan.endpoint = state_.endpoint(plan.target_instance);
   instance_ = plan.target_instance;
-  plan.remaining = std::max(deadline_ - now - state_.settings().deadline_reserve, kLeastRemaining);
+  plan.remaining = std::max(deadline_ - now - state_.settings().deadline_reserve, kMinRemaining);
   plan.replayable = true;
   io_.startAttempt(plan);
 }
@@ -175,7 +175,7 @@
   if (!isCurrent(attempt, Phase::kAttempting)) return;
   const TimePoint now = environment_.now();
   note(proxy::DecisionKind::kAttemptEnded, failureWord(failure), 0);
-  const bool may_try_again = attempt_ < state_.settings().local_tries && now < deadline_;
+  const bool may_try_again = attempt_ < state_.settings().max_local_attempts && now < deadline_;
   switch (failure) {
     case AttemptFailure::kClosedUnsent:
       if (may_try_again) return this->attempt(now);
@@ -216,11 +216,12 @@
   note(proxy::DecisionKind::kForwarded, "", answer.status);
   state_.onAnswered(target, now - attempt_started_);
   noteSize(answer.body_bytes);
-  // A failure that it answers is no sign against it: most often one of its calls failed, at a
-  // service that fails for all. Counted as well, 490 in place of 92 of 9,300 requests were refused
-  // by callers of a service whose servers came and went.
+  // An error answer does not count as a rejection: most often one of the request's calls failed, at
+  // a service that fails for everyone. Counting such errors would cause many more refusals by the
+  // callers of a service whose servers come and go.
   state_.onServerAnswer(false, now);
-  // At its deadline a server gives up what might still have ended it.
+  // A server that gives up at the deadline does not clear the request, which might still have
+  // crashed it.
   if (answer.status != kGatewayTimeout) {
     was_answered_ = true;
     state_.onRunAnswered(fingerprint(), now);
@@ -230,7 +231,7 @@
   io_.forwardAnswer(attempt_);
 }
 
-/// This flow lives until its answer is sent.
+/// The flow object lives until its answer is sent; its destructor then calls onSent().
 void IngressFlow::noteSize(std::uint64_t bytes) {
   const LargeAnswerSettings& settings = state_.settings().large_answers;
   if (!is_call) state_.largeAnswers().onAnswer(settings, target, bytes);
--- a/src/ingress/ingress_flow.h
+++ b/src/ingress/ingress_flow.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// One request at the ingress: wait for a slot of the server, run there, answer. A refusal here
-/// costs nothing: no server saw the request, and the egress may go elsewhere at once.
+/// State machine of one request at the ingress: it waits for a slot of the server, sends the
+/// request to the server and forwards the answer. A refusal by the ingress is cheap: no server has
+/// seen the request, and the egress can try another ingress at once.
 
 #include <memory>
 
@@ -10,7 +11,7 @@
 
 namespace coursepond::ingress {
 
-/// Makes the state machine of one request. `state`, `environment` and `io` must outlive it.
+/// Creates the state machine of one request. `state`, `environment` and `io` must outlive it.
 std::unique_ptr<proxy::Exchange> makeIngressFlow(proxy::RequestHead head, IngressState& state,
                                                  Environment& environment, proxy::RequestIo& io);
 
--- a/src/ingress/ingress_state.cpp
+++ b/src/ingress/ingress_state.cpp
@@ -13,7 +13,7 @@
     : settings_(settings),
       retries_(retries),
       environment_(environment),
-      service_time_us_(static_cast<double>(settings.first_service_time.count())),
+      service_time_us_(static_cast<double>(settings.initial_service_time.count())),
       server_ends_(environment),
       deadlines_(environment) {
   cold_start_.suspectTurnedCold(environment.now());
@@ -21,33 +21,34 @@
 
 void IngressState::setServer(const std::optional<model::ServerEntry>& entry) {
   const TimePoint now = environment_.now();
-  const bool is_another = entry && (!server_ || !isSameStart(*server_, *entry));
-  if (is_another) {
+  const bool is_new_start = entry && (!server_ || !isSameStart(*server_, *entry));
+  if (is_new_start) {
     instance_ = entry->id.value();
-    // Also under the id that it had.
-    server_ends_.onAnotherStart(now);
+    // This may be a new instance with the same id.
+    server_ends_.onRestart(now);
     rejections_ = RejectionRate();
     cold_start_.suspectTurnedCold(now);
   }
-  const Duration cold_before = server_ && !is_another ? server_->warm_up_left : Duration(0);
-  if (entry && entry->warm_up_left > cold_before) cold_start_.onTold(entry->warm_up_left, now);
+  const Duration cold_before = server_ && !is_new_start ? server_->warm_up_left : Duration(0);
+  if (entry && entry->warm_up_left > cold_before)
+    cold_start_.onWarmUpReported(entry->warm_up_left, now);
   server_ = entry;
-  // What waits could reach the server long after it said that it is leaving.
+  // Waiting requests could otherwise reach the server long after it reported that it is leaving.
   if (isServerLeaving()) refuseWaiting(Reason::kServerDraining, now);
   dispatch(now);
 }
 
 void IngressState::learnInstance(const std::string& instance) {
-  const bool is_another = !instance_.empty() && instance != instance_;
+  const bool is_new_start = !instance_.empty() && instance != instance_;
   instance_ = instance;
-  if (is_another) server_ends_.onAnotherStart(environment_.now());
+  if (is_new_start) server_ends_.onRestart(environment_.now());
 }
 
 void IngressState::setZoneDrained(bool is_drained) {
   if (std::exchange(is_zone_drained_, is_drained) == is_drained) return;
   const TimePoint now = environment_.now();
   if (is_drained) return refuseWaiting(Reason::kZoneDrained, now);
-  // A server without work may have turned cold.
+  // The server may have become cold while it was idle.
   cold_start_.suspectTurnedCold(now);
 }
 
@@ -60,18 +61,19 @@
 void IngressState::onHealth(const ServerHealth& health) {
   if (!health.instance.empty()) learnInstance(health.instance);
   const TimePoint now = environment_.now();
-  cold_start_.onTold(health.cold_left, now);
+  cold_start_.onWarmUpReported(health.cold_left, now);
   dispatch(now);
 }
 
-void IngressState::askHealthIfSuspected(TimePoint now) {
-  if (!ask_health_ || now < next_health_ || !cold_start_.isSuspected(settings_.cold_start, now))
+void IngressState::checkHealthIfSuspected(TimePoint now) {
+  if (!check_health_ || now < next_health_check_ ||
+      !cold_start_.isSuspected(settings_.cold_start, now))
     return;
-  // The question is one more request for the server to bear.
+  // The health check counts against the limit, as it is one more request to the cold server.
   if (!cold_start_.mayStart(settings_.cold_start, now)) return;
   cold_start_.onStarted(settings_.cold_start, now);
-  next_health_ = now + settings_.health_pause;
-  ask_health_();
+  next_health_check_ = now + settings_.health_check_interval;
+  check_health_();
 }
 
 model::Endpoint IngressState::endpoint(const std::string& instance) const {
@@ -80,7 +82,8 @@
 
 std::optional<Reason> IngressState::refusal(const std::optional<proxy::HopClass>& hop) const {
   if (is_stopped_) return Reason::kStopping;
-  // An address goes to a machine of another service after a while: nothing of the old one runs.
+  // An address may be reassigned to a machine of another service. Requests for the old service must
+  // not run there.
   if (hop && hop->service != settings_.own_service.value()) return Reason::kWrongService;
   if (is_zone_drained_) return Reason::kZoneDrained;
   if (isServerLeaving()) return Reason::kServerDraining;
@@ -106,21 +109,22 @@
   suspects_->onTrialFailed(request, environment_.random(UINT64_MAX), environment_.now());
 }
 
-/// An entry of an earlier start says nothing about the one that has the address now.
+/// The entry of an earlier instance says nothing about the instance that has the address now.
 bool IngressState::isServerLeaving() const {
   return server_ && server_->state == model::MachineState::kLeaving &&
          server_->id.value() == instance_;
 }
 
 std::uint32_t IngressState::slots() const {
-  if (!server_ || server_->slots == 0) return settings_.unknown_slots;
+  if (!server_ || server_->slots == 0) return settings_.default_slots;
   return server_->slots;
 }
 
 std::uint32_t IngressState::usableSlots() const {
   if (!isCold(environment_.now())) return slots();
   const double seconds = service_time_us_ / 1e6;
-  const double used = static_cast<double>(cold_start_.mostStarts(settings_.cold_start)) * seconds;
+  const double used =
+      static_cast<double>(cold_start_.maxStartsPerSecond(settings_.cold_start)) * seconds;
   return std::clamp(static_cast<std::uint32_t>(std::ceil(used)), 1U, slots());
 }
 
@@ -132,7 +136,7 @@
 void IngressState::startOne(Waiter& waiter, TimePoint now) {
   ++running_;
   cold_start_.onStarted(settings_.cold_start, now);
-  askHealthIfSuspected(now);
+  checkHealthIfSuspected(now);
   waiter.onSlot(now);
 }
 
@@ -172,8 +176,8 @@
   dispatch(now);
 }
 
-/// A waiter may finish from inside onSlot() and release its slot: the loop goes on, without a
-/// second one inside it.
+/// A waiter may finish inside onSlot() and release its slot, which calls dispatch() again. The
+/// inner call returns at once and the outer loop continues.
 void IngressState::dispatch(TimePoint now) {
   if (is_dispatching_) return;
   is_dispatching_ = true;
@@ -229,7 +233,7 @@
 }
 
 Duration IngressState::retryAfter() const {
-  return expectedWait(queue_.size() + 1) + settings_.first_service_time;
+  return expectedWait(queue_.size() + 1) + settings_.initial_service_time;
 }
 
 std::uint32_t IngressState::connectionBudget(const ServiceName&, const EndpointId&) const {
--- a/src/ingress/ingress_state.h
+++ b/src/ingress/ingress_state.h
@@ -1,11 +1,12 @@
 #pragma once
 
-/// The one server of this machine, owned: who runs on it, who waits, whom it takes no more.
+/// State of the one server on this machine, which only this ingress sends requests to: running and
+/// waiting requests, and what is currently refused.
 ///
 /// Invariants:
-///   - never more requests are at the server than it has slots, so that it need not queue, refuse
-///     or reset;
-///   - while it is cold, it gets no more in any second than it bears (ColdStart).
+///   - the server never has more requests than slots, so that it need not queue or refuse any of
+///     them, or reset their connections;
+///   - while it is cold, it gets no more requests in any second than it can handle (ColdStart).
 
 #include <cstdint>
 #include <functional>
@@ -36,16 +37,16 @@
   std::uint64_t answers_forwarded = 0;
   std::uint64_t answers_cut = 0;
   std::uint64_t queued = 0;
-  std::uint64_t refused_full = 0;       ///< The expected wait is too long.
+  std::uint64_t refused_full = 0;       ///< No free slot, or the wait is too long.
   std::uint64_t refused_link = 0;       ///< Large answers are still being sent.
-  std::uint64_t refused_draining = 0;   ///< The server or this node is leaving.
-  std::uint64_t refused_instance = 0;   ///< Meant for another start of the server.
-  std::uint64_t refused_suspects = 0;   ///< Servers ended under such requests.
-  std::uint64_t trials = 0;             ///< Of such requests, taken in.
-  std::uint64_t refused_rejecting = 0;  ///< Turned away: the server rejects too much.
-  std::uint64_t displaced = 0;          ///< Made room for a more urgent request.
-  std::uint64_t expired = 0;            ///< The deadline passed while waiting.
-  std::uint64_t repeated_runs = 0;      ///< Given to the server though another may have seen them.
+  std::uint64_t refused_draining = 0;   ///< The server, zone or node is leaving or drained.
+  std::uint64_t refused_instance = 0;   ///< Meant for another instance of the server.
+  std::uint64_t refused_suspects = 0;   ///< Crash suspects.
+  std::uint64_t trials = 0;             ///< Crash suspects that were accepted as a trial.
+  std::uint64_t refused_rejecting = 0;  ///< The server rejects too many requests.
+  std::uint64_t displaced = 0;          ///< Removed from the queue for a more urgent request.
+  std::uint64_t expired = 0;            ///< The deadline passed.
+  std::uint64_t repeated_runs = 0;      ///< Sent to the server after another may have seen them.
   std::uint64_t server_refusals = 0;
   std::uint64_t server_unreachable = 0;
   std::uint64_t server_lost = 0;  ///< Connections lost with a request on them.
@@ -53,16 +54,16 @@
   std::uint64_t caller_gone = 0;
 };
 
-/// What the server says of itself when it is asked.
+/// The server's answer to a health check.
 struct ServerHealth {
-  std::string instance;  ///< Empty: it did not say.
-  Duration cold_left{};  ///< How much longer it is cold; zero: it is warm.
+  std::string instance;  ///< Empty: not reported.
+  Duration cold_left{};  ///< Remaining warm-up time; zero: the server is warm.
 };
 
-/// How long a request may wait for a slot.
+/// Upper bounds for the wait of a request for a slot.
 struct WaitBounds {
-  TimePoint slot;    ///< It has its slot by then,
-  TimePoint answer;  ///< and its answer is expected by then.
+  TimePoint slot;    ///< Latest time to get a slot.
+  TimePoint answer;  ///< Latest time for the expected answer.
 };
 
 class IngressState final : public proxy::ConnectionPolicy {
@@ -70,83 +71,85 @@
   /// `retries` and `environment` must outlive the state.
   IngressState(const Settings& settings, proxy::RetryAccounts& retries, Environment& environment);
 
-  /// What the server on this machine lists of itself; nothing when it is not listed.
+  /// Sets the listed entry of the server on this machine; nothing if it is not listed.
   void setServer(const std::optional<model::ServerEntry>& entry);
-  /// Operators drained this machine's zone, or took that back.
+  /// Called when operators drain this machine's zone or end the drain.
   void setZoneDrained(bool is_drained);
-  /// What the configuration in force says of the server's service.
+  /// Sets the configuration of the server's service.
   void setService(const model::Service& service);
-  /// `ask` is called when the server should be asked how it is; onHealth() takes its answer.
-  void onHealthWanted(std::function<void()> ask) { ask_health_ = std::move(ask); }
+  /// `ask` is called when a health check of the server is needed; pass the result to onHealth().
+  void onHealthWanted(std::function<void()> ask) { check_health_ = std::move(ask); }
   void onHealth(const ServerHealth& health);
-  /// What was sent to the server at `sent` was lost, or found it out of reach: it may be another
-  /// start when it answers again.
-  void onServerLost(TimePoint sent, TimePoint now) { cold_start_.suspectStartedAnew(sent, now); }
+  /// Called when a request sent to the server at `sent` was lost or could not reach it. The server
+  /// may have restarted since then.
+  void onServerLost(TimePoint sent, TimePoint now) { cold_start_.suspectRestarted(sent, now); }
   ServerEndWatch& serverEnds() { return server_ends_; }
-  /// Which requests may not run since servers ended under them; null: all may.
+  /// `suspects` may be null: no request is refused as a crash suspect.
   void setSuspects(admission::CrashSuspects* suspects) { suspects_ = suspects; }
-  /// Whether the request may not run here. An egress that does not know yet sends it as any other.
+  /// Returns whether the request is a crash suspect that may not run here. An egress that does not
+  /// know of the suspect yet sends it like any other request.
   bool isSuspect(const std::optional<proxy::HopClass>& hop, TimePoint now) const;
-  /// Takes a trial in; false while another of the same request is here.
+  /// Accepts a trial; returns false while another trial of the same request is waiting or running.
   bool beginTrial(RequestFingerprint request);
-  /// It left. `has_failed`: it may have run and got no answer.
+  /// Called when the trial has ended. `has_failed`: it may have run and was not answered.
   void endTrial(RequestFingerprint request, bool has_failed);
-  /// The server answered it.
+  /// Called when the server answered the request.
   void onRunAnswered(RequestFingerprint request, TimePoint now) {
     if (suspects_ != nullptr) suspects_->onAnswered(request, now);
   }
   bool isCold(TimePoint now) const { return cold_start_.isCold(settings_.cold_start, now); }
-  /// A planned stop of this node began: egresses are told to go elsewhere. What is still running
-  /// at `end` will be cut.
+  /// Announces a planned stop of this node: load reports tell egresses to send elsewhere. Requests
+  /// that are still running at `end` will be cut.
   void announceStop(TimePoint end) { stop_end_ = end; }
-  /// Whether a request that may run until `deadline` might be cut by the node's stop.
-  bool mightBeCut(TimePoint deadline) const { return stop_end_ && deadline > *stop_end_; }
+  /// Returns whether a request with this deadline might be cut by the planned stop.
+  bool mayOutlastStop(TimePoint deadline) const { return stop_end_ && deadline > *stop_end_; }
   /// From now on, new requests are refused.
   void beginStop() { is_stopped_ = true; }
 
-  /// Why a request may not begin here, if so.
+  /// Returns the reason why new requests are refused now, if any.
   std::optional<proxy::Reason> refusal(const std::optional<proxy::HopClass>& hop) const;
-  /// The server said of itself which start of it has the address. It knows better than the source,
-  /// whose entry of an earlier start may stand for seconds.
+  /// Called when the server reported its instance id. This takes precedence over the listed entry,
+  /// which may still describe an earlier instance for seconds.
   void learnInstance(const std::string& instance);
-  /// The start of the server that requests are for; `fallback` while none is known.
+  /// Returns the instance of the server that requests are sent to; `fallback` while it is unknown.
   const std::string& instanceOr(const std::string& fallback) const {
     return instance_.empty() ? fallback : instance_;
   }
   const std::optional<model::ServerEntry>& server() const { return server_; }
-  /// Where the server is, and the name its connections are kept under.
+  /// Returns the server's address, with `instance` as the id under which connections are pooled.
   model::Endpoint endpoint(const std::string& instance) const;
   void setAddress(Address address) { address_ = std::move(address); }
 
-  /// Whether a request that comes now need not wait.
+  /// Returns whether a request that arrives now would get a slot at once.
   bool hasSlotFor(TimePoint now) const;
-  /// Gives the waiter a slot now, or when its turn comes if that is expected to be in time, or
-  /// tells why not.
+  /// Gives the waiter a slot now, or queues it if it is expected to get a slot and its answer in
+  /// time. Otherwise returns the reason for the refusal.
   std::optional<proxy::Reason> admit(Waiter& waiter, const WaitBounds& bounds, TimePoint now);
   void leave(Waiter& waiter) { queue_.remove(waiter); }
-  /// Gives the slot back and serves who waits.
+  /// Releases a slot and gives free slots to waiting requests.
   void release(TimePoint now);
-  /// A request of this target latency was at the server for so long.
+  /// Called when the server answered a request with this target latency after `service_time`.
   void onAnswered(Duration target, Duration service_time);
-  /// The server answered a request, or rejected it.
+  /// Called when the server answered or rejected a request.
   void onServerAnswer(bool is_rejection, TimePoint now) {
     rejections_.onAnswer(settings_.rejections, is_rejection, now);
   }
-  /// Whether a request that has another choice shall look elsewhere.
+  /// Returns whether a request that can go elsewhere should be refused, because the server rejects
+  /// many requests. Random; see RejectionRate.
   bool turnsAway(TimePoint now) const {
     return rejections_.turnsAway(settings_.rejections, now, environment_);
   }
   LargeAnswers& largeAnswers() { return large_answers_; }
-  /// The server takes nothing for a while.
+  /// Sends no requests to the server for `length`.
   void pause(Duration length, TimePoint now);
 
   proxy::HopLoad load() const;
-  /// When a refused request should come back.
+  /// Returns the retry delay for a refused request.
   Duration retryAfter() const;
 
   proxy::DeadlineQueue& deadlines() { return deadlines_; }
   const Settings& settings() const { return settings_; }
-  /// For requests that begin from now on.
+  /// Applies to requests that start from now on.
   void changeSettings(const Settings& settings) { settings_ = settings; }
   Statistics& statistics() { return statistics_; }
   proxy::RetryAccounts& retries() { return retries_; }
@@ -165,10 +168,11 @@
 
  private:
   std::uint32_t slots() const;
-  /// Slots that can be used: of a cold server, what it may be sent in a second fills fewer.
+  /// Returns the number of slots that can be in use at a time. For a cold server it is lower, as
+  /// the limited request rate cannot fill all slots.
   std::uint32_t usableSlots() const;
   void startOne(Waiter& waiter, TimePoint now);
-  void askHealthIfSuspected(TimePoint now);
+  void checkHealthIfSuspected(TimePoint now);
   bool isServerLeaving() const;
   Duration expectedWait(std::size_t ahead) const;
   Duration expectedService(Duration target) const;
@@ -182,24 +186,24 @@
   Environment& environment_;
   Address address_;
   std::optional<model::ServerEntry> server_;
-  std::string instance_;  ///< May be a later start of the server than `server_` lists.
+  std::string instance_;  ///< May be a later instance of the server than the one in `server_`.
   std::uint32_t connection_limit_ = 100;
   WorkQueue queue_;
   std::uint32_t running_ = 0;
-  double service_time_us_;                     ///< Moving average over all requests,
-  AverageByTarget service_time_by_target_us_;  ///< and apart.
+  double service_time_us_;                     ///< Moving average over all requests.
+  AverageByTarget service_time_by_target_us_;  ///< The same for each target latency.
   RejectionRate rejections_;
   ServerEndWatch server_ends_;
   admission::CrashSuspects* suspects_ = nullptr;
-  std::set<RequestFingerprint> trials_;  ///< Waiting or running here.
+  std::set<RequestFingerprint> trials_;  ///< Trials that wait or run here.
   ColdStart cold_start_;
   LargeAnswers large_answers_;
-  std::function<void()> ask_health_;
-  TimePoint next_health_;  ///< The server is not asked before this.
+  std::function<void()> check_health_;
+  TimePoint next_health_check_;  ///< Earliest time for the next health check.
   TimePoint paused_until_;
   TimerId wake_timer_ = 0;
   bool is_dispatching_ = false;
-  std::optional<TimePoint> stop_end_;  ///< Of a planned stop that began.
+  std::optional<TimePoint> stop_end_;  ///< End of the planned stop, once announced.
   bool is_stopped_ = false;
   bool is_zone_drained_ = false;
   proxy::DeadlineQueue deadlines_;
--- a/src/ingress/large_answers.h
+++ b/src/ingress/large_answers.h
@@ -1,12 +1,15 @@
 #pragma once
 
-/// The large answers that an ingress has still to send. A server may make them faster than its
-/// machine's link takes them: what waits then delays every small answer behind it, and the calls of
-/// other services with it.
+/// Tracks the large answers that an ingress still has to send.
 ///
-/// The load that this answers: files of 90 KB from 14 machines with links of 14 Mbit/s, 160 to 230
-/// a second, and 1,500 calls a second to the same servers that have 250 ms each. Three days of it
-/// with troubles earned 0.659, 0.534 and 0.577 of their worth in place of 0.630, 0.531 and 0.548.
+/// A server may produce large answers faster than its machine's link can send them. The backlog
+/// then delays every small answer behind it, including answers to calls of other services. So the
+/// number of large answers that are produced and sent at a time is bounded while there is a
+/// backlog.
+///
+/// Example of such a load: files of 90 KB from 14 machines with links of 14 Mbit/s, 160 to 230
+/// requests per second in total, together with 1,500 calls per second to the same servers with a
+/// limit of 250 ms each.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,36 +20,37 @@
 namespace coursepond::ingress {
 
 struct LargeAnswerSettings {
-  /// An answer from this size on is large: smaller ones fit in what a connection takes at once.
+  /// Minimum size of a large answer in bytes. Smaller answers fit into a connection's send buffer.
   std::uint64_t large_bytes = 32 * 1024;
-  /// While one waits to be sent, so many are made and sent at a time: the next is ready when one is
-  /// gone, and a small answer waits for a few at the most.
-  std::size_t most_at_a_time = 3;
-  /// Weight of one answer in the average size of its kind.
+  /// Maximum number of large answers that are produced or sent at a time while one is being sent.
+  /// The next one is then ready when one has been sent, and a small answer waits for a few at most.
+  std::size_t max_concurrent = 3;
+  /// Weight of one answer in the moving average of the sizes for its target latency.
   double sample_weight = 0.05;
 };
 
 class LargeAnswers {
  public:
-  /// A request of this target latency was answered with so many bytes.
+  /// Called when a request with this target latency was answered with `bytes` bytes.
   void onAnswer(const LargeAnswerSettings& settings, Duration target, std::uint64_t bytes) {
     bytes_.add(target, static_cast<double>(bytes), settings.sample_weight);
   }
-  /// Whether requests of this target mostly have large answers.
+  /// Returns whether requests with this target latency have large answers on average.
   bool expectsLarge(const LargeAnswerSettings& settings, Duration target) const {
     return bytes_.valueOr(target, 0) >= static_cast<double>(settings.large_bytes);
   }
 
-  /// A request that is expected to have one runs at the server, or does no longer.
+  /// Called when a request with an expected large answer starts to run at the server, or ends
+  /// there.
   void onRunning() { ++running_; }
   void onNotRunning() { --running_; }
-  /// One is being sent, or is sent.
+  /// Called when the ingress starts to send a large answer, or has sent it.
   void onSending() { ++sending_; }
   void onSent() { --sending_; }
 
-  /// Whether the link is behind, so that no further one should be made.
-  bool isBehind(const LargeAnswerSettings& settings) const {
-    return sending_ > 0 && sending_ + running_ >= settings.most_at_a_time;
+  /// Returns whether the link has a backlog, so that no further large answer should be produced.
+  bool isLinkBacklogged(const LargeAnswerSettings& settings) const {
+    return sending_ > 0 && sending_ + running_ >= settings.max_concurrent;
   }
 
  private:
--- a/src/ingress/rejection_rate.cpp
+++ b/src/ingress/rejection_rate.cpp
@@ -24,10 +24,10 @@
 
 bool RejectionRate::turnsAway(const RejectionRateSettings& settings, TimePoint now,
                               Environment& environment) const {
-  const double excess = value(settings, now) - settings.tolerated;
+  const double excess = value(settings, now) - settings.tolerated_rate;
   if (excess <= 0) return false;
-  const double part = std::min(excess / (settings.full - settings.tolerated), 1.0);
-  return happens(environment, part * settings.most_turned_away);
+  const double part = std::min(excess / (settings.full_rate - settings.tolerated_rate), 1.0);
+  return happens(environment, part * settings.max_turned_away);
 }
 
 }  // namespace coursepond::ingress
--- a/src/ingress/rejection_rate.h
+++ b/src/ingress/rejection_rate.h
@@ -1,13 +1,12 @@
 #pragma once
 
-/// Which part of what the own server got lately it rejected though it had room.
+/// Tracks the share of recent requests that the ingress's server rejected although it had a free
+/// slot.
 ///
-/// Answers the load of a server that rejects fast: its slots are free when those of the others are
-/// taken, so that whoever looks for a free slot finds it, and a part of all requests ends there.
-/// Such a server is offered to only a part of those that look for a free slot, the smaller the more
-/// it rejects; those that found none elsewhere still come, and show when it has recovered. Played
-/// in virtual time (fleet_load_test) with a quarter of a service's servers rejecting half: two
-/// points more of the worth, a quarter of the failed calls.
+/// A server that rejects quickly has free slots while those of other servers are taken. Requests
+/// that look for a free slot would find it and fail there. So the ingress refuses a part of these
+/// requests, which grows with the rejection rate. Requests that found no free slot elsewhere are
+/// still sent to the server, and show when it has recovered.
 
 #include "core/environment.h"
 #include "core/time.h"
@@ -16,26 +15,29 @@
 namespace coursepond::ingress {
 
 struct RejectionRateSettings {
-  /// Weight of one answer: about the last ten. A server at usual load answers as many in a second.
+  /// Weight of one answer in the moving average, which covers about the last ten answers. A server
+  /// at usual load gives as many per second.
   double sample_weight = 0.1;
-  /// Without answers the rate halves in this time: a server that is avoided is tried again. Servers
-  /// that come and go every two seconds are not missed for long, which was not measured by itself;
-  /// where servers reject all the time, 3 s earned 0.005 more in virtual time.
+  /// Half-life of the rate, so that an avoided server is tried again. Short, so that a server that
+  /// fails and recovers every two seconds is soon used again; for servers that reject all the time,
+  /// a longer half-life would be slightly better.
   Duration half_life = std::chrono::seconds(1);
-  /// Up to this rate nothing is turned away: a single rejection (0.1) is chance.
-  double tolerated = 0.12;
-  /// From this rate on, most are. With 0.95 in place of 0.99, 0.002 less of the worth.
-  double full = 0.3;
-  double most_turned_away = 0.99;
+  /// Rejection rate up to which no request is turned away. A single rejection (0.1) may be chance.
+  double tolerated_rate = 0.12;
+  /// Rejection rate from which on the share `max_turned_away` is turned away. Below, the share
+  /// grows linearly.
+  double full_rate = 0.3;
+  double max_turned_away = 0.99;
 };
 
 class RejectionRate {
  public:
-  /// The server answered a request, or rejected it.
+  /// Called when the server answered or rejected a request.
   void onAnswer(const RejectionRateSettings& settings, bool is_rejection, TimePoint now);
-  /// From 0 to 1.
+  /// Returns the rejection rate, from 0 to 1.
   double value(const RejectionRateSettings& settings, TimePoint now) const;
-  /// Whether a request that has another choice shall look elsewhere.
+  /// Returns whether a request that can go elsewhere should be turned away. Decided at random, with
+  /// a probability that grows with the rejection rate.
   bool turnsAway(const RejectionRateSettings& settings, TimePoint now,
                  Environment& environment) const;
 
--- a/src/ingress/settings.h
+++ b/src/ingress/settings.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Settings of the ingress: the second of two hops, which owns the one server on its machine.
+/// Settings of the ingress: the second of two hops. It controls access to the one server on its
+/// machine.
 
 #include <cstdint>
 
@@ -13,41 +14,42 @@
 namespace coursepond::ingress {
 
 struct Settings {
-  ServiceName own_service;  ///< Of the server on this machine.
-  /// Whether a success without the server's signature is no answer.
+  ServiceName own_service;  ///< Service of the server on this machine.
+  /// Whether a successful answer is invalid without the server's signature.
   bool expects_signature = false;
-  /// Kept back from the deadline that is sent on.
+  /// Subtracted from the deadline that is sent to the server.
   Duration deadline_reserve = std::chrono::milliseconds(3);
   Duration longest_deadline = std::chrono::seconds(60);
   Duration default_target = std::chrono::seconds(1);
   /// Slots assumed while the server's entry is not known.
-  std::uint32_t unknown_slots = 4;
-  /// Requests that may wait, as a multiple of the server's slots.
+  std::uint32_t default_slots = 4;
+  /// Maximum number of waiting requests, as a multiple of the server's slots.
   double queue_per_slot = 1.5;
-  /// A request may wait while its expected answer comes within this multiple of its target latency,
+  /// A request may wait only if its answer is expected within this multiple of its target latency.
   double target_stretch = 0.8;
-  /// and for this part of its target at most: refused by then, its caller can still be in time with
-  /// another try.
+  /// Maximum wait as a fraction of the target latency. A request that is refused by then can still
+  /// meet its target on another server.
   double wait_share = 0.25;
-  /// A call made by a server for a request that it runs may wait for this part of its deadline:
-  /// when it fails, so does that request, and the work on it is lost.
+  /// Maximum wait of a call (made by a server for a request that it runs) as a fraction of the time
+  /// until its deadline. Longer, because when a call fails, that request fails too and the work on
+  /// it is lost.
   double call_wait_share = 0.6;
   /// Weight of one sample in the moving average of the service time.
   double sample_weight = 0.05;
-  Duration first_service_time = std::chrono::milliseconds(100);
-  /// Pause in sending after the server refused or could not be reached.
+  Duration initial_service_time = std::chrono::milliseconds(100);
+  /// Pauses in sending after the server refused a request or could not be reached.
   Duration refused_pause = std::chrono::milliseconds(15);
   Duration unreachable_pause = std::chrono::milliseconds(100);
   RejectionRateSettings rejections;
   ColdStartSettings cold_start;
   LargeAnswerSettings large_answers;
-  /// Pause between two questions to the server whether it is cold. Each takes a slot for a moment;
-  /// a server that is cold is so for seconds.
-  Duration health_pause = std::chrono::milliseconds(500);
-  /// Connections kept back from the server's limit.
+  /// Minimum interval between health checks that ask whether the server is cold. Each check loads
+  /// the server for a moment, and a cold server stays cold for seconds.
+  Duration health_check_interval = std::chrono::milliseconds(500);
+  /// Number of connections of the server's limit that are left unused.
   std::uint32_t spare_connections = 8;
-  /// How often a request is tried again whose connection was found closed before it was sent.
-  std::uint32_t local_tries = 3;
+  /// Maximum number of attempts for a request whose connections are found closed before it is sent.
+  std::uint32_t max_local_attempts = 3;
 };
 
 }  // namespace coursepond::ingress
--- a/src/ingress/work_queue.cpp
+++ b/src/ingress/work_queue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// The order of those that wait, but for the order of their arrival.
+/// Sort key of a waiter, except for the order of arrival.
 auto urgency(const Waiter& waiter, std::size_t turn) {
   return std::make_tuple(!waiter.is_call, waiter.rank, turn, waiter.due);
 }
--- a/src/ingress/work_queue.h
+++ b/src/ingress/work_queue.h
@@ -1,9 +1,11 @@
 #pragma once
 
-/// The requests that wait for a slot of the ingress's server: calls of running work first, then the
-/// lowest rank, and within a rank the tenants in turn: each one's first request, then each one's
-/// second. Of those of one turn, the one goes first whose target comes first. A tenant that sends
-/// many times its usual load waits behind itself, not before others.
+/// Queue of the requests that wait for a slot of the ingress's server.
+///
+/// Calls made by running requests go first, then requests by ascending rank. Within a rank, the
+/// tenants take turns: first the first request of each tenant, then the second one of each. Within
+/// a turn, the request with the earliest target time goes first. So a tenant that sends many times
+/// its usual load delays its own requests, not those of others.
 
 #include <cstdint>
 #include <set>
@@ -18,35 +20,35 @@
 class Waiter {
  public:
   virtual ~Waiter() = default;
-  /// A slot is taken for this request, which must release it.
+  /// Called when the request has got a slot, which it must release.
   virtual void onSlot(TimePoint now) = 0;
-  /// No longer waiting and without a slot.
+  /// Called when the request was removed from the queue without getting a slot.
   virtual void onDisplaced(proxy::Reason reason, TimePoint now) = 0;
 
-  bool is_call = false;  ///< Made for a request that holds a slot elsewhere: goes first.
+  bool is_call = false;  ///< Made for a request that holds a slot elsewhere.
   std::uint32_t rank = 0;
-  TenantName tenant;  ///< Empty: nobody's, and all such requests have the first turn.
-  Duration target{};  ///< Its target latency.
-  TimePoint due;      ///< When its answer should be there.
+  TenantName tenant;  ///< Empty: no tenant; all such requests have the first turn.
+  Duration target{};  ///< Target latency.
+  TimePoint due;      ///< When the answer should be there.
 
  private:
   friend class WorkQueue;
   std::uint64_t number_ = 0;  ///< Order of arrival; zero: not waiting.
-  std::size_t turn_ = 0;      ///< Of its tenant's requests.
+  std::size_t turn_ = 0;      ///< Turn among the requests of its tenant and rank.
 };
 
 class WorkQueue {
  public:
   void add(Waiter& waiter);
-  /// Does nothing when it doesn't wait.
+  /// Does nothing if `waiter` is not waiting.
   void remove(Waiter& waiter);
   Waiter* first() const { return waiters_.empty() ? nullptr : *waiters_.begin(); }
   Waiter* last() const { return waiters_.empty() ? nullptr : *waiters_.rbegin(); }
   bool empty() const { return waiters_.empty(); }
   std::size_t size() const { return waiters_.size(); }
-  /// How many of those that wait would go before `waiter`.
+  /// Returns the number of waiting requests that would go before `waiter`.
   std::size_t ahead(const Waiter& waiter) const;
-  /// Whether `waiter` would go before the last of those that wait.
+  /// Returns whether `waiter` would go before the last waiting request.
   bool goesBeforeLast(const Waiter& waiter) const;
 
  private:
--- a/tests/egress/admission_throttle_test.cpp
+++ b/tests/egress/admission_throttle_test.cpp
@@ -10,15 +10,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Requests at an even rate to a service that accepts at most so many a second.
-struct Bench {
+/// Sends requests at a constant rate to a service with a limited acceptance rate.
+struct ThrottleFixture {
   proxy::VirtualEnvironment environment;
   ThrottleSettings settings;
   AdmissionThrottle throttle;
   int passed = 0;
 
-  /// One second of `offered` requests, of which the service would accept `accepted`.
-  int play(int offered, int accepted) {
+  /// Offers `offered` requests in one second to a service that would accept `accepted` of them.
+  /// Returns the number of requests that passed the throttle.
+  int runOneSecond(int offered, int accepted) {
     passed = 0;
     double room = 0;
     for (int request = 0; request < offered; ++request) {
@@ -36,45 +37,45 @@
 
 }  // namespace
 
-TEST_CASE("while a service accepts what comes, everything passes") {
-  Bench bench;
-  for (int second = 0; second < 5; ++second) CHECK(bench.play(100, 100) == 100);
-  // Also when a third is refused: another try costs less than a wrong refusal.
-  for (int second = 0; second < 5; ++second) CHECK(bench.play(100, 70) == 100);
+TEST_CASE("all requests pass while a service accepts most of them") {
+  ThrottleFixture fixture;
+  for (int second = 0; second < 5; ++second) CHECK(fixture.runOneSecond(100, 100) == 100);
+  // Also when 30% are refused: an unnecessary attempt costs less than a wrong refusal.
+  for (int second = 0; second < 5; ++second) CHECK(fixture.runOneSecond(100, 70) == 100);
 }
 
-TEST_CASE("while a service is full, little more passes than it accepts") {
-  Bench bench;
-  bench.play(100, 100);
-  bench.play(400, 100);
+TEST_CASE("an overloaded service gets little more than it accepts") {
+  ThrottleFixture fixture;
+  fixture.runOneSecond(100, 100);
+  fixture.runOneSecond(400, 100);
   for (int second = 0; second < 5; ++second) {
-    const int passed = bench.play(400, 100);
+    const int passed = fixture.runOneSecond(400, 100);
     CHECK(passed >= 120);
     CHECK(passed <= 190);
   }
 }
 
-TEST_CASE("within two seconds of the end of an overload everything passes again") {
-  Bench bench;
-  for (int second = 0; second < 10; ++second) bench.play(400, 60);
-  bench.play(100, 100);
-  bench.play(100, 100);
-  CHECK(bench.play(100, 100) == 100);
+TEST_CASE("all requests pass again within two seconds after an overload") {
+  ThrottleFixture fixture;
+  for (int second = 0; second < 10; ++second) fixture.runOneSecond(400, 60);
+  fixture.runOneSecond(100, 100);
+  fixture.runOneSecond(100, 100);
+  CHECK(fixture.runOneSecond(100, 100) == 100);
 }
 
-TEST_CASE("a service that accepted nothing is tried again and again") {
-  Bench bench;
-  for (int second = 0; second < 10; ++second) bench.play(100, 0);
-  CHECK(bench.play(100, 0) > 0);
-  CHECK(bench.play(100, 0) < 30);
-  bench.play(100, 100);
-  bench.play(100, 100);
-  CHECK(bench.play(100, 100) == 100);
+TEST_CASE("a service that accepts nothing still gets some requests") {
+  ThrottleFixture fixture;
+  for (int second = 0; second < 10; ++second) fixture.runOneSecond(100, 0);
+  CHECK(fixture.runOneSecond(100, 0) > 0);
+  CHECK(fixture.runOneSecond(100, 0) < 30);
+  fixture.runOneSecond(100, 100);
+  fixture.runOneSecond(100, 100);
+  CHECK(fixture.runOneSecond(100, 100) == 100);
 }
 
-TEST_CASE("a few refusals hold nothing back") {
-  Bench bench;
-  CHECK(bench.play(5, 0) == 5);
+TEST_CASE("a few refusals throttle nothing") {
+  ThrottleFixture fixture;
+  CHECK(fixture.runOneSecond(5, 0) == 5);
 }
 
 }  // namespace coursepond::egress
--- a/tests/egress/decision_log_test.cpp
+++ b/tests/egress/decision_log_test.cpp
@@ -1,4 +1,4 @@
-// What an egress tells about its servers and decisions, so that a failure can be explained.
+// Tests the events that an egress reports to the decision log about its servers.
 
 #include "proxy/decision_log.h"
 
@@ -24,8 +24,8 @@
   std::vector<ServerChange> changes;
 };
 
-struct Bench {
-  Bench() { state.setDecisionLog(&log); }
+struct LogFixture {
+  LogFixture() { state.setDecisionLog(&log); }
 
   void put(model::MachineState machine_state, std::uint64_t revision) {
     model::ServerEntry entry;
@@ -44,41 +44,42 @@
 
 }  // namespace
 
-TEST_CASE("a server's coming, leaving and going are told once each") {
-  Bench bench;
-  bench.put(model::MachineState::kLive, 1);
-  bench.put(model::MachineState::kLive, 2);
-  CHECK(bench.log.take() == std::vector{ServerChange::kListed});
-  bench.put(model::MachineState::kLeaving, 3);
-  bench.put(model::MachineState::kLeaving, 4);
-  CHECK(bench.log.take() == std::vector{ServerChange::kLeaving});
-  bench.state.directory().remove(EndpointId("s1"), bench.environment.now());
-  CHECK(bench.log.take() == std::vector{ServerChange::kForgotten});
+TEST_CASE("a server is logged once each when it is listed, starts to leave and is forgotten") {
+  LogFixture fixture;
+  fixture.put(model::MachineState::kLive, 1);
+  fixture.put(model::MachineState::kLive, 2);
+  CHECK(fixture.log.take() == std::vector{ServerChange::kListed});
+  fixture.put(model::MachineState::kLeaving, 3);
+  fixture.put(model::MachineState::kLeaving, 4);
+  CHECK(fixture.log.take() == std::vector{ServerChange::kLeaving});
+  fixture.state.directory().remove(EndpointId("s1"), fixture.environment.now());
+  CHECK(fixture.log.take() == std::vector{ServerChange::kForgotten});
 }
 
-TEST_CASE("an entry that lapses and comes back is told, and so is one that is forgotten") {
-  Bench bench;
-  bench.put(model::MachineState::kLive, 1);
-  bench.state.directory().remove(EndpointId("s1"), bench.environment.now());
-  bench.put(model::MachineState::kLive, 2);
-  bench.state.directory().remove(EndpointId("s1"), bench.environment.now());
-  bench.state.directory().forgetLapsed(bench.environment.now() + seconds(60));
-  CHECK(bench.log.take() == std::vector{ServerChange::kListed, ServerChange::kLapsed,
-                                        ServerChange::kListed, ServerChange::kLapsed,
-                                        ServerChange::kForgotten});
+TEST_CASE("an entry is logged when it lapses, returns and is forgotten") {
+  LogFixture fixture;
+  fixture.put(model::MachineState::kLive, 1);
+  fixture.state.directory().remove(EndpointId("s1"), fixture.environment.now());
+  fixture.put(model::MachineState::kLive, 2);
+  fixture.state.directory().remove(EndpointId("s1"), fixture.environment.now());
+  fixture.state.directory().forgetLapsed(fixture.environment.now() + seconds(60));
+  CHECK(fixture.log.take() == std::vector{ServerChange::kListed, ServerChange::kLapsed,
+                                          ServerChange::kListed, ServerChange::kLapsed,
+                                          ServerChange::kForgotten});
 }
 
-TEST_CASE("a server that cannot be reached is told once, and again when it can be") {
-  Bench bench;
-  bench.put(model::MachineState::kLive, 1);
-  bench.log.take();
-  Server& server = *bench.state.directory().all().at(EndpointId("s1"));
-  bench.state.onUnreachable(server, bench.environment.now());
-  bench.state.onUnreachable(server, bench.environment.now());
-  CHECK(bench.log.take() == std::vector{ServerChange::kUnreachable});
-  bench.state.onReached(server);
-  bench.state.onReached(server);
-  CHECK(bench.log.take() == std::vector{ServerChange::kReached});
+TEST_CASE(
+    "a server is logged once when it becomes unreachable and once when it is reachable again") {
+  LogFixture fixture;
+  fixture.put(model::MachineState::kLive, 1);
+  fixture.log.take();
+  Server& server = *fixture.state.directory().all().at(EndpointId("s1"));
+  fixture.state.onUnreachable(server, fixture.environment.now());
+  fixture.state.onUnreachable(server, fixture.environment.now());
+  CHECK(fixture.log.take() == std::vector{ServerChange::kUnreachable});
+  fixture.state.onReached(server);
+  fixture.state.onReached(server);
+  CHECK(fixture.log.take() == std::vector{ServerChange::kReached});
 }
 
 }  // namespace coursepond::egress
--- a/tests/egress/egress_flow_test.cpp
+++ b/tests/egress/egress_flow_test.cpp
@@ -18,8 +18,8 @@
 
 constexpr std::uint16_t kIngressPort = 8300;
 
-/// An egress of zone "a" with service "stock" behind a repeatable route "/stock" and one that is
-/// not, "/seat"; both name two servers at most.
+/// An egress in zone "a" with service "stock" behind a repeatable route "/stock" and a route that
+/// is not repeatable, "/seat"; both allow at most two attempts.
 class EgressFixture {
  public:
   explicit EgressFixture(double retry_burst = 100)
@@ -54,7 +54,7 @@
                         makeRoute("/seat", model::Repeatability::kNever),
                         makeRoute("/open", model::Repeatability::kAlways)};
     snapshot->routes.back().is_public = true;
-    for (model::Route& route : snapshot->routes) route.max_attempts = most_attempts;
+    for (model::Route& route : snapshot->routes) route.max_attempts = route_max_attempts;
     snapshot->tenants = std::move(tenants);
     return state.apply(snapshot);
   }
@@ -76,7 +76,7 @@
     return entry;
   }
 
-  /// Version 1 and servers s1 to s`count` of the own zone.
+  /// Applies version 1 and lists servers s1 to s`count` in the own zone.
   void begin(int count) {
     apply(1);
     std::vector<model::ServerEntry> entries;
@@ -84,17 +84,17 @@
       entries.push_back(entry("s" + std::to_string(number), "a"));
     }
     list(entries);
-    earnBurst();
+    earnRetryBurst();
   }
 
-  /// The same with one server, and in version 2 a tenant "farm" that holds the key "k1".
+  /// Calls begin(1) and applies version 2 with a tenant "farm" that has the key "k1".
   void beginWithTenant() {
     begin(1);
     apply(2, {makeTenant("farm", "k1")});
   }
 
-  /// The node has served for a while: its part of the burst is earned.
-  void earnBurst() {
+  /// Simulates earlier requests, so that the node has earned its share of the retry burst.
+  void earnRetryBurst() {
     constexpr int kEnough = 1000;
     for (int number = 0; number < kEnough; ++number) {
       retries.onFirstAttempt(ServiceName("stock"), "earlier");
@@ -110,8 +110,8 @@
     return send(path, "", Digest::of(key));
   }
 
-  /// A request that servers cannot tell from others of this fingerprint.
-  std::unique_ptr<TestExchange> sendLike(RequestFingerprint fingerprint) {
+  /// Sends a request with this fingerprint.
+  std::unique_ptr<TestExchange> sendWithFingerprint(RequestFingerprint fingerprint) {
     return send("/stock", "", std::nullopt, fingerprint);
   }
 
@@ -136,13 +136,13 @@
   proxy::VirtualEnvironment environment;
   proxy::RetryAccounts retries;
   EgressState state;
-  std::uint32_t most_attempts = 2;  ///< Of the routes, when they are applied.
+  std::uint32_t route_max_attempts = 2;  ///< Used for all routes by apply().
 
  private:
   int last_request_ = 0;
 };
 
-/// The ingress's own refusal: no server saw the request.
+/// A refusal by the ingress itself: no server saw the request.
 AnswerHead refusal(const std::string& id, std::string_view reason, Duration retry_after) {
   AnswerHead head;
   head.status = 503;
@@ -162,7 +162,7 @@
 
 }  // namespace
 
-TEST_CASE("a request goes to the ingress beside a server, with what the next hop needs") {
+TEST_CASE("a request goes to the ingress beside a server with all data for the next hop") {
   EgressFixture egress;
   egress.begin(1);
   const auto exchange = egress.send("/stock/1");
@@ -174,16 +174,17 @@
   REQUIRE(plan.hop_class.has_value());
   CHECK(plan.hop_class->service == "stock");
   CHECK(plan.hop_class->target_latency == milliseconds(500));
-  // Callers and the server share the machine's address: only its parent's id tells a call.
+  // Callers and the server share the machine's address. Only the request id of the parent marks a
+  // request as a call.
   CHECK_FALSE(plan.hop_class->is_call);
-  // The operator's bound is shorter than the caller's deadline.
+  // The route's time limit (longest_hold) is shorter than the caller's deadline.
   CHECK(plan.remaining <= seconds(2));
   exchange->answerWhole();
   CHECK(exchange->io.forwarded.size() == 1);
   CHECK(egress.state.inFlight() == 0);
 }
 
-TEST_CASE("without tenants a request needs no key, and what it says of a tenant passes") {
+TEST_CASE("without tenants a request needs no key, and its tenant header is not replaced") {
   EgressFixture egress;
   egress.begin(1);
   const auto exchange = egress.sendWithKey("/stock", "any");
@@ -192,9 +193,10 @@
   CHECK(exchange->plan().tenant.empty());
 }
 
-// Found with the first configuration that named tenants: keys were sent on to the servers, requests
-// with keys that nobody held were run, and no server was told whose a request was.
-TEST_CASE("with tenants, servers are told whose a request is and never its key") {
+// Guards against a failure in which keys were forwarded to servers, requests with unknown keys were
+// run, and servers did not get the tenant of a request.
+TEST_CASE(
+    "with tenants, servers get the tenant of a request and requests without a valid key fail") {
   EgressFixture egress;
   egress.beginWithTenant();
   const auto known = egress.sendWithKey("/stock", "k1");
@@ -206,19 +208,19 @@
   CHECK(egress.state.statistics().unauthenticated == 2);
 }
 
-TEST_CASE("a public route needs no key, and tells the tenant of one that is known") {
+TEST_CASE("a public route needs no key, but a known key still sets the tenant") {
   EgressFixture egress;
   egress.beginWithTenant();
-  const auto nobodys = egress.sendWithKey("/open", "k2");
-  REQUIRE(nobodys->io.plans.size() == 1);
-  CHECK(nobodys->plan().replaces_tenant);
-  CHECK(nobodys->plan().tenant.empty());
-  const auto farms = egress.sendWithKey("/open", "k1");
-  REQUIRE(farms->io.plans.size() == 1);
-  CHECK(farms->plan().tenant == TenantName("farm"));
+  const auto without_tenant = egress.sendWithKey("/open", "k2");
+  REQUIRE(without_tenant->io.plans.size() == 1);
+  CHECK(without_tenant->plan().replaces_tenant);
+  CHECK(without_tenant->plan().tenant.empty());
+  const auto with_tenant = egress.sendWithKey("/open", "k1");
+  REQUIRE(with_tenant->io.plans.size() == 1);
+  CHECK(with_tenant->plan().tenant == TenantName("farm"));
 }
 
-TEST_CASE("a key comes and goes with its version, also on connections that are open") {
+TEST_CASE("API keys are valid only in the versions that contain them") {
   EgressFixture egress;
   egress.beginWithTenant();
   egress.apply(3, {EgressFixture::makeTenant("farm", "k2")});
@@ -226,7 +228,7 @@
   CHECK(egress.sendWithKey("/stock", "k2")->io.plans.size() == 1);
 }
 
-TEST_CASE("a node that may have missed a version does not say that a key is unknown") {
+TEST_CASE("a node that may have missed a version answers an unknown key with 503 in place of 401") {
   EgressFixture egress;
   Settings settings = EgressFixture::makeSettings();
   settings.configuration_certain_for = seconds(2);
@@ -239,7 +241,7 @@
 }
 
 TEST_CASE(
-    "a call of a run needs no key and is its caller's tenant's, one of unknown work is not run") {
+    "a call needs no key and gets the tenant of its parent; without a known parent it is not run") {
   EgressFixture egress;
   egress.beginWithTenant();
   proxy::ServerRun run{.request = "parent", .tenant = TenantName("farm")};
@@ -254,7 +256,7 @@
   egress.retries.remove(run);
 }
 
-TEST_CASE("a tenant's rank goes before its route's, and its regions narrow the route's") {
+TEST_CASE("a tenant's rank overrides its route's, and its regions restrict the route's") {
   EgressFixture egress;
   Settings settings = EgressFixture::makeSettings();
   settings.zone_regions = {{ZoneId("a"), RegionId("west")}, {ZoneId("b"), RegionId("east")}};
@@ -274,7 +276,7 @@
   CHECK(exchange->plan().hop_class->rank == 1);
 }
 
-TEST_CASE("without a configuration a request is refused as not run, without a route it is 404") {
+TEST_CASE("without a configuration a request is refused as not run, without a route it gets 404") {
   EgressFixture egress;
   const auto early = egress.send("/stock");
   egress.environment.advance(seconds(1));
@@ -284,28 +286,30 @@
   checkAnswered(*egress.send("/nowhere"), 404, proxy::Outcome::kNotRun);
 }
 
-TEST_CASE("a node that may have missed a version does not say that there is no route") {
+TEST_CASE(
+    "a node that may have missed a version answers a missing route with 503 in place of 404") {
   EgressFixture egress;
   Settings settings = EgressFixture::makeSettings();
   settings.configuration_certain_for = seconds(2);
   egress.state.changeSettings(settings);
   egress.begin(1);
-  // That a version is held does not tell that it is the newest.
+  // Holding a version does not prove that it is the newest one.
   checkAnswered(*egress.send("/nowhere"), 503, proxy::Outcome::kNotRun);
   egress.state.confirmConfiguration();
   egress.environment.advance(seconds(2));
   checkAnswered(*egress.send("/nowhere"), 404, proxy::Outcome::kNotRun);
-  // Nothing was heard of the configuration for longer than versions take: one may have the route.
+  // The version was not confirmed for longer than a distribution takes, so a newer version may have
+  // the route.
   egress.environment.advance(milliseconds(1));
   const auto exchange = egress.send("/nowhere");
   checkAnswered(*exchange, 503, proxy::Outcome::kNotRun);
   CHECK(exchange->io.answers[0].reason == "stale_configuration");
   CHECK(exchange->io.answers[0].retry_after.has_value());
-  // What it holds is served all the same.
+  // Known routes are still served.
   CHECK(egress.send("/stock")->io.plans.size() == 1);
   egress.state.confirmConfiguration();
   checkAnswered(*egress.send("/nowhere"), 404, proxy::Outcome::kNotRun);
-  // An older word does not take that back, and counts from when it was true.
+  // An older confirmation does not replace a newer one, and counts from its own time.
   egress.state.confirmConfiguration(seconds(5));
   checkAnswered(*egress.send("/nowhere"), 404, proxy::Outcome::kNotRun);
   egress.environment.advance(seconds(1));
@@ -314,7 +318,7 @@
   checkAnswered(*egress.send("/nowhere"), 503, proxy::Outcome::kNotRun);
 }
 
-TEST_CASE("a request that comes before the configuration is served when that comes soon") {
+TEST_CASE("a request that arrives shortly before the first configuration is served") {
   EgressFixture egress;
   const auto early = egress.send("/stock");
   CHECK(early->isOpen());
@@ -331,7 +335,8 @@
   CHECK(egress.state.version() == Version(5));
 }
 
-TEST_CASE("what an ingress refused goes elsewhere at once, whether repeatable or not") {
+TEST_CASE(
+    "a request refused by an ingress goes to another one at once, whether repeatable or not") {
   EgressFixture egress(0);
   egress.begin(3);
   for (const char* path : {"/stock", "/seat"}) {
@@ -346,8 +351,7 @@
   }
 }
 
-TEST_CASE(
-    "a free slot is asked for at four ingresses, then the request waits at the shortest queue") {
+TEST_CASE("four ingresses are asked for a free slot, then the request joins the shortest queue") {
   EgressFixture egress(0);
   egress.begin(9);
   for (const char* path : {"/stock", "/seat"}) {
@@ -373,7 +377,7 @@
   }
 }
 
-TEST_CASE("a request whose service has one server waits there after one question") {
+TEST_CASE("a request to a service with one server waits there after one refusal") {
   EgressFixture egress(0);
   egress.begin(1);
   const auto exchange = egress.send("/stock");
@@ -384,7 +388,7 @@
   CHECK(exchange->plan().hop_class->may_wait);
 }
 
-TEST_CASE("ingresses of an earlier release, which tell no queue, are asked four times at most") {
+TEST_CASE("at most four ingresses of an earlier release, which report no queue, are asked") {
   EgressFixture egress(0);
   egress.begin(9);
   for (const char* reason : {"queue_full", "deadline_too_short"}) {
@@ -399,7 +403,7 @@
   }
 }
 
-TEST_CASE("a full service is asked little more than it accepts; calls of running work always are") {
+TEST_CASE("an overloaded service gets a limited number of requests, but all calls") {
   EgressFixture egress(0);
   egress.begin(9);
   int sent = 0;
@@ -427,7 +431,7 @@
   egress.retries.remove(run);
 }
 
-TEST_CASE("ingresses that are leaving are not counted as full") {
+TEST_CASE("draining ingresses do not count as full") {
   EgressFixture egress(0);
   egress.begin(9);
   const auto exchange = egress.send("/stock");
@@ -439,7 +443,7 @@
   CHECK(exchange->isOpen());
 }
 
-TEST_CASE("an answer that was lost is tried elsewhere only where that is allowed") {
+TEST_CASE("a request whose answer was lost is repeated only if that is allowed") {
   EgressFixture egress;
   egress.begin(3);
   const auto seat = egress.send("/seat");
@@ -453,16 +457,16 @@
   stock->fail(AttemptFailure::kLostAfterSend);
   REQUIRE(stock->io.plans.size() == 2);
   CHECK(stock->server() != first);
-  // The route allows two servers.
+  // The route allows two attempts.
   stock->flow->onAttemptReceived(stock->plan().id);
   stock->fail(AttemptFailure::kLostAfterSend);
   checkAnswered(*stock, 502, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("an ingress that ended before its receipt may have passed the request on") {
-  // A reset discards what was not read yet, so that the receipt may be what was lost, and a server
-  // has seen the request. Sent on for free, such requests came on top of the operator's bound on
-  // repeats.
+TEST_CASE("a request lost before its acknowledgement is repeated only within the retry budget") {
+  // A reset discards data that was not read yet, so the acknowledgement may be lost although a
+  // server has seen the request. Repeating such requests free of charge would exceed the operator's
+  // limit on repeats.
   EgressFixture egress(0);
   egress.begin(3);
   const auto stock = egress.send("/stock");
@@ -474,14 +478,14 @@
   checkAnswered(*seat, 502, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("an ingress that is leaving is used only when nothing else is left") {
+TEST_CASE("a draining ingress is used only if no other one is left") {
   EgressFixture egress;
   egress.begin(2);
-  const auto told = egress.send("/stock");
-  const std::string leaving = told->server();
-  AnswerHead head = TestExchange::properHead(told->id);
+  const auto draining_answer = egress.send("/stock");
+  const std::string leaving = draining_answer->server();
+  AnswerHead head = TestExchange::properHead(draining_answer->id);
   head.hop_load = proxy::HopLoad{0, 0, 4, milliseconds(10), true};
-  told->answer(head);
+  draining_answer->answer(head);
   std::vector<std::unique_ptr<TestExchange>> held;
   for (int number = 0; number < 6; ++number) {
     held.push_back(egress.send("/stock"));
@@ -491,7 +495,7 @@
   CHECK(held.back()->server() == leaving);
 }
 
-TEST_CASE("an ingress that cannot be reached costs nothing and is avoided for a while") {
+TEST_CASE("an unreachable ingress costs no retry budget and is avoided for a while") {
   EgressFixture egress(0);
   egress.begin(2);
   const auto seat = egress.send("/seat");
@@ -502,7 +506,8 @@
   for (int number = 0; number < 4; ++number) CHECK(egress.send("/seat")->server() != dead);
 }
 
-TEST_CASE("with no server at hand a request waits a part of its target, then is refused") {
+TEST_CASE(
+    "without a server a request waits for a fraction of its target latency, then is refused") {
   EgressFixture egress;
   egress.apply(1);
   const auto exchange = egress.send("/stock");
@@ -512,13 +517,13 @@
   egress.environment.advance(milliseconds(60));
   checkAnswered(*exchange, 503, proxy::Outcome::kNotRun);
 
-  const auto lucky = egress.send("/stock");
+  const auto admitted = egress.send("/stock");
   egress.list({EgressFixture::entry("s1", "a")});
   egress.environment.advance(milliseconds(60));
-  CHECK(lucky->io.plans.size() == 1);
+  CHECK(admitted->io.plans.size() == 1);
 }
 
-TEST_CASE("another request's answer, an unsigned success and an encoded one are none") {
+TEST_CASE("answers that belong to another request, are unsigned or are encoded are invalid") {
   EgressFixture egress(0);
   egress.begin(1);
   std::vector<AnswerHead> heads(3, TestExchange::properHead("r"));
@@ -534,7 +539,7 @@
   }
 }
 
-TEST_CASE("a server's own failure is repeated where that is allowed, else passed on unchanged") {
+TEST_CASE("a server's error is repeated if that is allowed, otherwise forwarded unchanged") {
   EgressFixture egress;
   egress.begin(2);
   const auto stock = egress.send("/stock");
@@ -548,7 +553,7 @@
   CHECK(seat->io.forwarded.size() == 1);
 }
 
-TEST_CASE("a server that was started anew is asked again through the same ingress, as a repeat") {
+TEST_CASE("a restarted server is tried again through the same ingress, which counts as a repeat") {
   EgressFixture egress;
   egress.begin(1);
   const auto seat = egress.send("/seat");
@@ -560,7 +565,7 @@
   CHECK(egress.state.statistics().repeats == 1);
 }
 
-TEST_CASE("a repeat that no server saw is not charged") {
+TEST_CASE("a repeat that reached no server is not charged to the retry budget") {
   EgressFixture egress;
   egress.begin(3);
   const auto& allowance = egress.retries.all().at(ServiceName("stock")).allowance;
@@ -575,9 +580,9 @@
   CHECK(allowance.left() == doctest::Approx(before));
 }
 
-TEST_CASE("a repeat that would be late leaves half of the allowance to those in time") {
+TEST_CASE("repeats that would miss their target use at most half of the retry budget") {
   EgressFixture egress(8);
-  egress.begin(2);  // Two nodes: four at once.
+  egress.begin(2);  // Two nodes: this one may add four repeats at once.
   int repeated = 0;
   for (int number = 0; number < 4; ++number) {
     const auto exchange = egress.send("/stock");
@@ -590,9 +595,9 @@
   CHECK(repeated == 2);
 }
 
-TEST_CASE("repeats are bounded by the allowance") {
+TEST_CASE("repeats are limited by the retry budget") {
   EgressFixture egress(4);
-  egress.begin(2);  // Two nodes: this one may add two at once.
+  egress.begin(2);  // Two nodes: this one may add two repeats at once.
   int repeated = 0;
   for (int number = 0; number < 10; ++number) {
     const auto exchange = egress.send("/stock");
@@ -601,11 +606,11 @@
     if (exchange->io.plans.size() == 2) ++repeated;
     egress.environment.advance(seconds(2));
   }
-  CHECK(repeated == 3);  // Two, and one from ten requests at 15 in a hundred.
+  CHECK(repeated == 3);  // Two, and one earned by ten requests at 15%.
   CHECK(egress.state.statistics().repeats_denied == 7);
 }
 
-TEST_CASE("at the operator's bound a request is answered: unknown when it was sent") {
+TEST_CASE("at the route's time limit a request that was sent is answered as unknown") {
   EgressFixture egress;
   egress.begin(1);
   const auto exchange = egress.send("/stock");
@@ -616,7 +621,7 @@
   CHECK(exchange->io.cancelled.size() == 1);
 }
 
-TEST_CASE("a request that begins during a planned stop is answered before the stop ends") {
+TEST_CASE("a request that starts during a planned stop is answered before the stop ends") {
   EgressFixture egress;
   egress.begin(1);
   egress.state.announceStop(egress.environment.now() + milliseconds(800));
@@ -627,11 +632,10 @@
   checkAnswered(*exchange, 504, proxy::Outcome::kUnknown);
 }
 
-// The story of the failure. A node in a planned stop took a request 0.9 s before its end, gave the
-// server all but 3 ms of that, and answered 504 itself at its end while the server was at work. The
-// server's own word, that it gave up at the deadline, was on its way. Evidence: in the play, the
-// run was cut in the millisecond in which the caller had its answer.
-TEST_CASE("what a stopping node gives a server leaves time for the server's own last word") {
+// A stopping node accepted a request 0.9 s before its end and sent it with a deadline only 3 ms
+// before that end. It then answered 504 itself while the server's own timeout answer was in flight,
+// and the run was cut.
+TEST_CASE("the deadline sent by a stopping node leaves time for the server's own timeout answer") {
   EgressFixture egress;
   egress.begin(1);
   egress.state.announceStop(egress.environment.now() + milliseconds(900));
@@ -643,7 +647,7 @@
   CHECK(exchange->io.forwarded.size() == 1);
 }
 
-TEST_CASE("a stopping node that has no time left for a server refuses at once, as not run") {
+TEST_CASE("a stopping node without enough time for a server refuses at once as not run") {
   EgressFixture egress;
   egress.begin(1);
   egress.state.announceStop(egress.environment.now() + milliseconds(150));
@@ -653,7 +657,7 @@
   CHECK(exchange->io.answers[0].reason == "stopping");
 }
 
-TEST_CASE("a request that is under way when a planned stop begins is answered before it ends") {
+TEST_CASE("a request in flight when a planned stop begins is answered before the stop ends") {
   EgressFixture egress;
   egress.begin(2);
   const auto running = egress.send("/stock");
@@ -670,7 +674,7 @@
   checkAnswered(*sent, 503, proxy::Outcome::kNotRun);
 }
 
-TEST_CASE("an ingress that stays silent is left: what was not confirmed has not run") {
+TEST_CASE("a request of which nothing was sent leaves a silent ingress, as it has not run") {
   EgressFixture egress(0);
   egress.begin(3);
   const auto seat = egress.send("/seat");
@@ -682,7 +686,8 @@
   CHECK(seat->server() != silent);
   CHECK(seat->io.cancelled.size() == 1);
 
-  // A confirmed one may have run: it is never sent again, but its answer may still come.
+  // A request whose bytes were sent may have run. It is never sent again, but its answer may still
+  // arrive.
   const auto confirmed = egress.send("/seat");
   egress.environment.advance(milliseconds(260));
   CHECK(confirmed->io.plans.size() == 1);
@@ -692,10 +697,11 @@
 }
 
 TEST_CASE(
-    "what may not be repeated and may have run is not sent again, whatever allowance there is") {
+    "a request that may have run and is not repeatable is not sent again, whatever the retry "
+    "budget") {
   EgressFixture egress;
   egress.begin(3);
-  // Without a body there is nothing to confirm: all of it went out at once.
+  // A request without a body does not wait for a confirmation: all of it was sent at once.
   const auto seat = egress.send("/seat");
   egress.environment.advance(milliseconds(260));
   CHECK(seat->io.plans.size() == 1);
@@ -705,7 +711,7 @@
   checkAnswered(*seat, 504, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("two silent ingresses end a request that surely has not run, at once and as not run") {
+TEST_CASE("a request that certainly has not run is refused after two silent ingresses") {
   EgressFixture egress(0);
   egress.begin(9);
   const auto seat = egress.send("/seat");
@@ -719,7 +725,7 @@
   CHECK(seat->io.answers[0].retry_after.has_value());
 }
 
-TEST_CASE("while all ingresses are slow to take requests, they are waited for longer") {
+TEST_CASE("the acknowledgement timeout grows while all ingresses are slow") {
   EgressFixture egress;
   egress.begin(3);
   CHECK(egress.state.receiptTimeout(milliseconds(1000)) == milliseconds(250));
@@ -732,7 +738,7 @@
   CHECK(egress.state.receiptTimeout(milliseconds(1000)) == milliseconds(250));
 }
 
-TEST_CASE("a repeatable request waits for a silent ingress when no repeat is allowed") {
+TEST_CASE("a repeatable request keeps waiting for a silent ingress if no repeat is allowed") {
   EgressFixture egress(0);
   egress.begin(3);
   const auto stock = egress.send("/stock");
@@ -741,10 +747,11 @@
   CHECK(stock->isOpen());
 }
 
-// Nodes of a tenth of a core were stopped while a large configuration filled their links: receipts
-// came late, requests were taken away from servers at work on them, the repeats found no allowance
-// or no time, and the callers got a failure in place of the answer that was on its way.
-TEST_CASE("a stopping node waits for a silent ingress whose server may be at work") {
+// Nodes with a tenth of a core were stopped while a large configuration filled their links.
+// Acknowledgements were late, so requests were taken away from servers that were running them. The
+// repeats had no retry budget or time left, and callers got a failure in place of the answer that
+// was in flight.
+TEST_CASE("a stopping node waits for a silent ingress whose server may be running the request") {
   EgressFixture egress;
   egress.begin(3);
   const auto stock = egress.send("/stock");
@@ -755,14 +762,14 @@
   stock->answerWhole();
   CHECK(stock->io.forwarded.size() == 1);
 
-  // What surely has not run is still tried elsewhere.
+  // A request that certainly has not run is still sent to another ingress.
   const auto seat = egress.send("/seat");
   seat->io.bytes_sent = false;
   egress.environment.advance(milliseconds(260));
   CHECK(seat->io.plans.size() == 2);
 }
 
-TEST_CASE("a repeatable request leaves a silent ingress within its route's attempts") {
+TEST_CASE("a repeatable request leaves a silent ingress within its route's maximum of attempts") {
   EgressFixture egress;
   egress.begin(3);
   const auto stock = egress.send("/stock");
@@ -775,7 +782,7 @@
   checkAnswered(*stock, 504, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("an ingress that has the request is waited for") {
+TEST_CASE("an ingress that acknowledged the request is waited for") {
   EgressFixture egress;
   egress.begin(2);
   const auto stock = egress.send("/stock");
@@ -785,7 +792,7 @@
   CHECK(stock->isOpen());
 }
 
-TEST_CASE("a caller that leaves cancels the attempt and gives the server back") {
+TEST_CASE("a caller that disconnects cancels the attempt and releases the server") {
   EgressFixture egress;
   egress.begin(1);
   const auto exchange = egress.send("/seat");
@@ -809,7 +816,7 @@
   CHECK(remote <= 4);
 }
 
-TEST_CASE("a server that was slow once is tried again after a while") {
+TEST_CASE("the slowness of a server decays, so that it is tried again") {
   EgressFixture egress;
   egress.begin(2);
   Server& slow = *egress.state.directory().usable(ServiceName("stock"))[0];
@@ -825,7 +832,7 @@
   CHECK(egress.state.slowness(slow, egress.environment.now()) < 1.01);
 }
 
-TEST_CASE("a server whose ingress reports that it is slow gets work last, and is tried again") {
+TEST_CASE("a server reported as slow is chosen last, and is tried again later") {
   EgressFixture egress;
   egress.begin(3);
   const auto& servers = egress.state.directory().usable(ServiceName("stock"));
@@ -846,7 +853,7 @@
   CHECK(egress.state.slowness(*servers[0], egress.environment.now()) < 1.01);
 }
 
-TEST_CASE("requests spread over servers whose reports differ, and do not herd on the best one") {
+TEST_CASE("requests spread over servers and do not herd on the one with the best report") {
   EgressFixture egress;
   egress.begin(9);
   const auto& servers = egress.state.directory().usable(ServiceName("stock"));
@@ -866,7 +873,7 @@
   CHECK(counts.size() >= 8);
 }
 
-TEST_CASE("an idle server of the own zone is always among those compared") {
+TEST_CASE("servers of the own zone are always among the compared ones") {
   EgressFixture egress;
   egress.apply(1);
   std::vector<model::ServerEntry> entries = {EgressFixture::entry("s1", "a")};
@@ -881,7 +888,7 @@
   }
 }
 
-TEST_CASE("a report of load is believed less the older it is") {
+TEST_CASE("the weight of a load report decreases with its age") {
   EgressFixture egress;
   egress.begin(2);
   const auto& servers = egress.state.directory().usable(ServiceName("stock"));
@@ -896,7 +903,7 @@
   CHECK(later == doctest::Approx(egress.state.usedByOthers(*servers[1], 4, then + seconds(2))));
 }
 
-TEST_CASE("a server whose entry went is the last resort for a moment, then forgotten") {
+TEST_CASE("a server whose entry lapsed is a last resort for a short time, then forgotten") {
   EgressFixture egress;
   egress.begin(2);
   ServerDirectory& directory = egress.state.directory();
@@ -909,7 +916,7 @@
   CHECK(directory.all().empty());
 }
 
-TEST_CASE("a server whose entry went takes no overflow of the listed ones") {
+TEST_CASE("a lapsed server gets no overflow from the listed ones") {
   EgressFixture egress;
   egress.begin(2);
   egress.state.directory().remove(EndpointId("s1"), egress.environment.now());
@@ -918,12 +925,13 @@
   stock->answer(refusal(stock->id, "queue_full", milliseconds(100)));
   CHECK(stock->io.plans.size() == 1);
   checkAnswered(*stock, 503, proxy::Outcome::kNotRun);
-  // Its entry comes back: it takes work again at once.
+  // When its entry returns, the server gets requests again at once.
   egress.list({EgressFixture::entry("s1", "a"), EgressFixture::entry("s2", "a")});
   CHECK(egress.state.directory().usable(ServiceName("stock")).size() == 2);
 }
 
-TEST_CASE("an entry that comes back stands as before; one that was leaving is gone at once") {
+TEST_CASE(
+    "an entry that returns after a lapse is kept; a removed leaving one is forgotten at once") {
   EgressFixture egress;
   egress.begin(2);
   ServerDirectory& directory = egress.state.directory();
@@ -940,7 +948,7 @@
   CHECK(directory.all().size() == 1);
 }
 
-TEST_CASE("a draining server gets no new request") {
+TEST_CASE("a draining server gets no new requests") {
   EgressFixture egress;
   egress.begin(2);
   model::ServerEntry draining = EgressFixture::entry("s1", "a");
@@ -948,7 +956,7 @@
   draining.state = model::MachineState::kLeaving;
   egress.state.directory().upsert(draining, egress.environment.now());
   for (int number = 0; number < 6; ++number) CHECK(egress.send("/stock")->server() == "s2");
-  // An older entry that comes late changes nothing.
+  // An older entry that arrives late is ignored.
   egress.state.directory().upsert(EgressFixture::entry("s1", "a"), egress.environment.now());
   for (int number = 0; number < 6; ++number) CHECK(egress.send("/stock")->server() == "s2");
 }
@@ -971,13 +979,13 @@
     CHECK(refused->io.answers[0].reason == "zone_drained");
     CHECK(refused->io.plans.empty());
   }
-  SUBCASE("a zone that is taken back is used again") {
+  SUBCASE("a zone whose drain ended is used again") {
     egress.state.setDrainedZones({});
     CHECK(egress.send("/stock")->io.plans[0].target_instance == "s1");
   }
 }
 
-TEST_CASE("what was seen of a server says nothing about its next start under the same id") {
+TEST_CASE("observations of a server are dropped when it restarts under the same id") {
   EgressFixture egress;
   egress.begin(1);
   const TimePoint now = egress.environment.now();
@@ -997,7 +1005,7 @@
   CHECK(after->cold_until == now + seconds(3));
 }
 
-TEST_CASE("a route that names regions is served in these alone") {
+TEST_CASE("a route that names regions is served only in these") {
   EgressFixture egress;
   Settings settings = EgressFixture::makeSettings();
   settings.zone_regions = {{ZoneId("a"), RegionId("east")}, {ZoneId("b"), RegionId("west")}};
@@ -1014,11 +1022,11 @@
   for (int number = 0; number < 20; ++number) {
     CHECK(egress.send("/stock")->server() == "s2");
   }
-  // Not even when the only one there cannot be reached.
+  // Also not elsewhere if the only server there is unreachable.
   const auto alone = egress.send("/stock");
   alone->fail(AttemptFailure::kConnectFailed);
   CHECK(alone->io.plans.size() == 1);
-  // No server is in the region: refused at once.
+  // A request without a server in its region is refused at once.
   const auto refused = egress.send("/seat");
   CHECK(refused->io.plans.empty());
   REQUIRE(refused->io.answers.size() == 1);
@@ -1027,9 +1035,9 @@
 
 namespace {
 
-const RequestFingerprint kGuilty(77);
+const RequestFingerprint kCrashingRequest(77);
 
-/// An egress with four servers, which knows of two ends under kGuilty.
+/// An egress with four servers that knows of two server ends while kCrashingRequest was running.
 struct SuspectFixture : EgressFixture {
   SuspectFixture() {
     begin(4);
@@ -1038,12 +1046,12 @@
     endServer(2);
   }
   void endServer(ServerEndId end) {
-    suspects.onServerEnd(end, std::vector{kGuilty}, environment.now());
+    suspects.onServerEnd(end, std::vector{kCrashingRequest}, environment.now());
   }
   admission::CrashSuspects suspects;
 };
 
-/// What an ingress says when its server lost the request.
+/// The answer of an ingress whose server lost the request.
 AnswerHead lostByServer(const std::string& id) {
   AnswerHead head;
   head.status = 502;
@@ -1055,48 +1063,48 @@
 
 }  // namespace
 
-TEST_CASE("a suspect goes to the one server that other nodes send it to, as a trial") {
+TEST_CASE("all nodes send a crash suspect to the same server, as a trial") {
   SuspectFixture one;
   SuspectFixture other;
-  const auto first = one.sendLike(kGuilty);
+  const auto first = one.sendWithFingerprint(kCrashingRequest);
   REQUIRE(first->io.plans.size() == 1);
   CHECK(first->plan().hop_class->is_trial);
   for (int count = 0; count < 5; ++count) {
-    CHECK(other.sendLike(kGuilty)->server() == first->server());
+    CHECK(other.sendWithFingerprint(kCrashingRequest)->server() == first->server());
   }
-  CHECK_FALSE(one.sendLike(RequestFingerprint(78))->plan().hop_class->is_trial);
+  CHECK_FALSE(one.sendWithFingerprint(RequestFingerprint(78))->plan().hop_class->is_trial);
 }
 
-TEST_CASE("a trial that is refused, or lost its answer, is not sent to another server") {
+TEST_CASE("a trial that was refused or lost its answer is not sent to another server") {
   SuspectFixture egress;
-  const auto refused = egress.sendLike(kGuilty);
+  const auto refused = egress.sendWithFingerprint(kCrashingRequest);
   refused->answer(refusal(refused->id, "crashes_servers", milliseconds(10)));
   CHECK(refused->io.plans.size() == 1);
   checkAnswered(*refused, 503, proxy::Outcome::kNotRun);
 
-  const auto lost = egress.sendLike(kGuilty);
+  const auto lost = egress.sendWithFingerprint(kCrashingRequest);
   lost->answer(lostByServer(lost->id));
   CHECK(lost->io.plans.size() == 1);
   checkAnswered(*lost, 502, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("between trials a suspect is refused at once, with the time until the next one") {
+TEST_CASE("between trials a crash suspect is refused with the time until the next trial") {
   SuspectFixture egress;
-  egress.suspects.onTrialFailed(kGuilty, 5, egress.environment.now());
+  egress.suspects.onTrialFailed(kCrashingRequest, 5, egress.environment.now());
   egress.environment.advance(seconds(4));
-  const auto refused = egress.sendLike(kGuilty);
+  const auto refused = egress.sendWithFingerprint(kCrashingRequest);
   CHECK(refused->io.plans.empty());
   checkAnswered(*refused, 503, proxy::Outcome::kNotRun);
   CHECK(refused->io.answers[0].reason == "crashes_servers");
   CHECK(refused->io.answers[0].retry_after == seconds(6));
-  egress.suspects.onTrialFailed(kGuilty, 6, egress.environment.now());
-  CHECK(egress.sendLike(kGuilty)->io.answers[0].retry_after >= std::chrono::minutes(5));
+  egress.suspects.onTrialFailed(kCrashingRequest, 6, egress.environment.now());
+  CHECK(egress.sendWithFingerprint(kCrashingRequest)->io.answers[0].retry_after >=
+        std::chrono::minutes(5));
 }
 
-TEST_CASE(
-    "a request whose answer two servers lost is not sent to a third, whatever its route allows") {
+TEST_CASE("a request whose answer was lost by two servers is not sent to a third one") {
   EgressFixture egress;
-  egress.most_attempts = 4;
+  egress.route_max_attempts = 4;
   egress.begin(4);
   const auto exchange = egress.send("/stock");
   exchange->answer(lostByServer(exchange->id));
@@ -1106,10 +1114,10 @@
   checkAnswered(*exchange, 502, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("what became a suspect while it was under way is not sent on") {
+TEST_CASE("a request that became a crash suspect while in flight is not repeated") {
   SuspectFixture egress;
   const RequestFingerprint later(79);
-  const auto exchange = egress.sendLike(later);
+  const auto exchange = egress.sendWithFingerprint(later);
   for (const ServerEndId end : {3, 4}) {
     egress.suspects.onServerEnd(end, std::vector{later}, egress.environment.now());
   }
@@ -1118,9 +1126,9 @@
   checkAnswered(*exchange, 502, proxy::Outcome::kUnknown);
 }
 
-TEST_CASE("an ingress that knows of a suspect keeps the request from servers that do not") {
+TEST_CASE("a refusal as a crash suspect by one ingress keeps the request from other servers") {
   SuspectFixture egress;
-  const auto exchange = egress.sendLike(RequestFingerprint(78));
+  const auto exchange = egress.sendWithFingerprint(RequestFingerprint(78));
   exchange->answer(refusal(exchange->id, "crashes_servers", milliseconds(10)));
   CHECK(exchange->io.plans.size() == 1);
   checkAnswered(*exchange, 503, proxy::Outcome::kNotRun);
--- a/tests/egress/traffic_split_test.cpp
+++ b/tests/egress/traffic_split_test.cpp
@@ -23,12 +23,12 @@
 
 }  // namespace
 
-TEST_CASE("a route without parts goes to its service") {
+TEST_CASE("a route without a split goes to its service") {
   TrafficSplit split(0);
   CHECK(split.next(makeRoute({})) == ServiceName("only"));
 }
 
-TEST_CASE("every run of requests has the weights' shares, whatever the start") {
+TEST_CASE("every sequence of requests is split by weight, whatever the start") {
   const model::Route route =
       makeRoute({{ServiceName("new"), 10}, {ServiceName("old"), 90}, {ServiceName("off"), 0}});
   for (const std::uint64_t start : {0ULL, 1ULL, 55ULL, 123456789ULL}) {
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_CASE("new weights count from the next request") {
+TEST_CASE("new weights apply from the next request") {
   TrafficSplit split(7);
   count(split, makeRoute({{ServiceName("new"), 1}, {ServiceName("old"), 99}}), 50);
   const auto counts =
--- a/tests/ingress/ingress_flow_test.cpp
+++ b/tests/ingress/ingress_flow_test.cpp
@@ -41,9 +41,9 @@
                   id);
   }
 
-  /// A request that servers cannot tell from others of this fingerprint.
-  std::unique_ptr<TestExchange> sendLike(RequestFingerprint fingerprint, const std::string& id,
-                                         bool is_trial = false) {
+  /// Sends a request with this fingerprint.
+  std::unique_ptr<TestExchange> sendWithFingerprint(RequestFingerprint fingerprint,
+                                                    const std::string& id, bool is_trial = false) {
     proxy::HopClass hop{"stock", 1, milliseconds(1000), true};
     hop.fingerprint = fingerprint;
     hop.is_trial = is_trial;
@@ -77,7 +77,7 @@
   IngressState state;
 };
 
-/// The server's "421": another start of it has the address.
+/// The server's answer 421: another instance of it has the address.
 AnswerHead otherInstance(const std::string& instance) {
   AnswerHead head;
   head.status = 421;
@@ -95,7 +95,7 @@
 
 }  // namespace
 
-TEST_CASE("the server never gets more requests than it has slots") {
+TEST_CASE("the server never has more requests than slots") {
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   const auto second = ingress.send("r2");
@@ -109,9 +109,9 @@
   CHECK(third->io.plans.size() == 1);
 }
 
-// Files were made faster than the machine's link took them: what waited to be sent delayed every
-// small answer behind it by tenths of a second, and the calls of another service failed.
-TEST_CASE("while large answers wait to be sent, no further one is made, and small ones are") {
+// Files were produced faster than the machine's link could send them. The backlog delayed every
+// small answer behind it by tenths of a second, and calls of another service failed.
+TEST_CASE("while large answers wait to be sent, further ones are refused and small ones are not") {
   IngressFixture ingress;
   constexpr milliseconds kFiles(2000);
   std::vector<std::unique_ptr<TestExchange>> unsent;
@@ -132,7 +132,7 @@
   CHECK(ingress.send("f5", 1, kFiles)->io.plans.size() == 1);
 }
 
-TEST_CASE("of those that wait, the lowest rank goes first, then the earliest target") {
+TEST_CASE("of the waiting requests the lowest rank goes first, then the earliest target") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   const auto other = ingress.send("r2");
@@ -146,7 +146,7 @@
   CHECK(late->io.plans.empty());
 }
 
-TEST_CASE("a full queue makes room for what is more urgent, and refuses the rest as not run") {
+TEST_CASE("a full queue displaces a request for a more urgent one and refuses others as not run") {
   IngressFixture ingress;
   std::vector<std::unique_ptr<TestExchange>> held;
   for (int number = 0; number < 5; ++number) {
@@ -159,7 +159,8 @@
   checkRefused(*held.back(), "queue_full");
 }
 
-TEST_CASE("what asks for a free slot gets one or is refused at once, and passes none that wait") {
+TEST_CASE(
+    "a request for a free slot gets one or is refused at once, and does not overtake waiters") {
   IngressFixture ingress;
   const auto askForFreeSlot = [&ingress](const std::string& id) {
     return ingress.send(id, 0, milliseconds(1000), false, 0, false);
@@ -177,7 +178,7 @@
   checkRefused(*askForFreeSlot("r6"), "no_free_slot");
 }
 
-TEST_CASE("a server that rejects much of what it gets is for those that found no slot elsewhere") {
+TEST_CASE("a rejecting server is used only by requests that found no free slot elsewhere") {
   IngressFixture ingress;
   AnswerHead rejected;
   rejected.status = 503;
@@ -197,14 +198,14 @@
   CHECK(ingress.send("w")->io.plans.size() == 1);
 }
 
-TEST_CASE("a request that would wait beyond its target is refused at once") {
+TEST_CASE("a request whose expected wait exceeds its target is refused at once") {
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   const auto second = ingress.send("r2");
   checkRefused(*ingress.send("r3", 1, milliseconds(60)), "deadline_too_short");
 }
 
-TEST_CASE("a request waits for a quarter of its target, then is refused as not run") {
+TEST_CASE("a request waits for at most a quarter of its target, then is refused as not run") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   const auto other = ingress.send("r2");
@@ -216,7 +217,7 @@
   CHECK(ingress.state.load().waiting == 0);
 }
 
-TEST_CASE("a call of running work goes before all others, and waits towards its deadline") {
+TEST_CASE("a call goes before all other requests, and may wait for most of its deadline") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   const auto other = ingress.send("r2");
@@ -234,7 +235,7 @@
   checkRefused(*patient, "queue_timeout");
 }
 
-TEST_CASE("a draining server takes no new request, a running one finishes") {
+TEST_CASE("a draining server gets no new requests, but running ones finish") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   ingress.listServer("i-1", model::MachineState::kLeaving);
@@ -244,7 +245,7 @@
   CHECK(running->io.forwarded.size() == 1);
 }
 
-TEST_CASE("what waits when the server begins to leave is refused: it would arrive too late") {
+TEST_CASE("waiting requests are refused when the server starts to leave") {
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   const auto second = ingress.send("r2");
@@ -255,12 +256,12 @@
   CHECK(waiting->io.plans.empty());
 }
 
-TEST_CASE("a stopping node takes only what surely ends before it does") {
+TEST_CASE("a stopping node accepts only requests whose deadline is before its end") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   ingress.state.announceStop(ingress.environment.now() + seconds(5));
   CHECK(ingress.state.load().draining);
-  // The deadline of 4 s ends in time now, and does not a second and a half later.
+  // The deadline of 4 s is before the end of the stop now, but not 1.5 s later.
   CHECK(ingress.send("r2")->io.plans.size() == 1);
   ingress.environment.advance(milliseconds(1500));
   checkRefused(*ingress.send("r3"), "stopping");
@@ -268,7 +269,7 @@
   CHECK(running->io.forwarded.size() == 1);
 }
 
-TEST_CASE("a request for another service is refused: the address has a new owner") {
+TEST_CASE("a request for another service is refused, as the address may have been reassigned") {
   IngressFixture ingress;
   proxy::RequestHead head;
   head.request_id = "r1";
@@ -281,23 +282,23 @@
   checkRefused(exchange, "wrong_service");
 }
 
-TEST_CASE("a server that was started anew is found out by its own answer and used at once") {
-  // Both starts see a request that is sent on to the second one. Sent on by the ingress, without a
-  // charge, the requests under way at each restart of a server came on top of the operator's bound
-  // on repeats: now the egress, which pays for repeats, asks again.
+TEST_CASE("a restarted server is detected by its own answer and used at once") {
+  // Both instances see a request that is sent to the second one after the first. If the ingress
+  // sent it again free of charge, the requests in flight at each restart of a server would exceed
+  // the operator's limit on repeats. So the egress, which pays for repeats, sends it again.
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   first->answer(otherInstance("i-2"));
   CHECK(first->io.plans.size() == 1);
   checkRefused(*first, "other_instance");
-  // The next one goes to the new start without asking the old one, which is not listed yet.
+  // The next request goes to the new instance at once, although that is not listed yet.
   const auto second = ingress.send("r2");
   CHECK(second->plan().target_instance == "i-2");
   second->answerWhole();
   CHECK(second->io.forwarded.size() == 1);
 }
 
-TEST_CASE("a repeat is let in only while the calls of its run can be paid for") {
+TEST_CASE("a repeat is accepted only if the retry budget covers the calls that it will make") {
   IngressFixture ingress;
   const ServiceName called("prices");
   for (int number = 0; number < 20; ++number) {
@@ -307,8 +308,8 @@
     ingress.retries.onFirstAttempt(called, id + ".2");
     run->answerWhole();
   }
-  // Forty calls have earned six. While the called service's own requests are repeated, half of the
-  // part stays for them, which cost one each.
+  // Forty calls have earned a budget of six. While the called service's own requests are repeated,
+  // half of this node's share is reserved for them; each of them costs one.
   const double earned = ingress.retries.all().at(called).allowance.left();
   CHECK(earned == doctest::Approx(6));
   ingress.retries.changeSettings({.ratio = 0.15, .burst = 8});
@@ -322,13 +323,13 @@
   const auto later = ingress.send("again3", 1, milliseconds(1000), false, 1);
   CHECK(later->isOpen());
   later->answerWhole();
-  // What it did not call is given back.
+  // The budget for calls that it did not make is given back.
   ingress.retries.onFirstAttempt(called, "again1.1");
   repeat->answerWhole();
   CHECK(ingress.retries.all().at(called).allowance.left() == doctest::Approx(5).epsilon(0.05));
 }
 
-TEST_CASE("the entry of an earlier start neither stops nor renames the one that answers") {
+TEST_CASE("the entry of an earlier instance affects neither state nor id of the current one") {
   IngressFixture ingress;
   ingress.send("r1")->answer(otherInstance("i-2"));
   ingress.listServer("i-1", model::MachineState::kLeaving);
@@ -337,7 +338,7 @@
   CHECK(second->plan().target_instance == "i-2");
 }
 
-TEST_CASE("a server that names no instance, or the same again, has refused") {
+TEST_CASE("a 421 without an instance, or with the same one, is a refusal by the server") {
   IngressFixture ingress;
   const auto unnamed = ingress.send("r1");
   unnamed->answer(otherInstance(""));
@@ -347,7 +348,7 @@
   checkRefused(*same, "server_refused");
 }
 
-TEST_CASE("an answer that is not the request's own is no answer") {
+TEST_CASE("an answer that belongs to another request or is unsigned is invalid") {
   IngressFixture ingress;
   for (const auto& [id, is_signed] : {std::pair{"other", true}, std::pair{"r", false}}) {
     const auto exchange = ingress.send("r");
@@ -361,7 +362,7 @@
   }
 }
 
-TEST_CASE("a lost connection is unknown, one that was never made is not run") {
+TEST_CASE("a lost connection has an unknown outcome, a failed connect means not run") {
   IngressFixture ingress;
   const auto lost = ingress.send("r1");
   lost->fail(AttemptFailure::kLostAfterSend);
@@ -371,7 +372,7 @@
   checkRefused(*unreachable, "connect_failed");
 }
 
-TEST_CASE("a caller that leaves frees its slot and cancels its attempt") {
+TEST_CASE("a caller that disconnects releases its slot and cancels its attempt") {
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   const auto second = ingress.send("r2");
@@ -381,11 +382,11 @@
   CHECK(third->io.plans.size() == 1);
 }
 
-TEST_CASE("a request whose deadline passes while it waits has not run; at the server it may have") {
+TEST_CASE("a request that times out in the queue has not run; one at the server may have") {
   IngressFixture ingress;
   const auto first = ingress.send("r1");
   const auto second = ingress.send("r2");
-  // Its target is so far off that the deadline ends its wait.
+  // The target is so late that the deadline ends the wait.
   const auto waiting = ingress.send("r3", 1, seconds(60));
   ingress.environment.advance(seconds(5));
   checkRefused(*waiting, "deadline");
@@ -395,7 +396,7 @@
 
 namespace {
 
-/// A service whose cold servers bear 4 requests a second, for 3 s.
+/// A service whose servers can handle 4 requests per second while they are cold, for 3 s.
 model::Service serviceThatWarmsUp() {
   model::Service service;
   service.name = ServiceName("stock");
@@ -404,7 +405,7 @@
   return service;
 }
 
-/// Sends short requests as fast as slots come free, for `length`; returns how many reached the
+/// Sends short requests for `length` as fast as slots become free. Returns how many reached the
 /// server.
 std::size_t sendShortRequests(IngressFixture& ingress, milliseconds length) {
   constexpr milliseconds kStep(5);
@@ -422,17 +423,17 @@
 
 }  // namespace
 
-// All machines lost power and the servers came back cold: each was sent what its slots took,
-// several times what it bore, crashed, came back cold and was overloaded again, for the rest of
-// the day.
-TEST_CASE("a server that may be cold is sent no more than it bears, and is asked how it is") {
+// After a power loss of all machines, each cold server got as many requests as its slots allowed,
+// several times what it could handle. It crashed, restarted cold and was overloaded again, and
+// never recovered.
+TEST_CASE("a server that may be cold gets a limited rate of requests and a health check") {
   IngressFixture ingress;
-  int asked = 0;
-  ingress.state.onHealthWanted([&] { ++asked; });
+  int health_checks = 0;
+  ingress.state.onHealthWanted([&] { ++health_checks; });
   ingress.state.setService(serviceThatWarmsUp());
-  // Questions reach the server like requests.
-  CHECK(sendShortRequests(ingress, milliseconds(1000)) + asked == 4);
-  CHECK(asked == 1);
+  // Health checks count against the limit like requests.
+  CHECK(sendShortRequests(ingress, milliseconds(1000)) + health_checks == 4);
+  CHECK(health_checks == 1);
 
   ingress.state.onHealth({"i-1", seconds(1)});
   CHECK(sendShortRequests(ingress, milliseconds(990)) <= 4);
@@ -440,7 +441,7 @@
   CHECK(sendShortRequests(ingress, milliseconds(1000)) == 200);
 }
 
-TEST_CASE("a request that waits for a cold server is sent when the server bears it") {
+TEST_CASE("a request that waits for a cold server is sent when the limit allows it") {
   IngressFixture ingress;
   ingress.state.setService(serviceThatWarmsUp());
   ingress.state.onHealth({"i-1", seconds(2)});
@@ -453,22 +454,22 @@
   CHECK(waiting->io.plans.size() == 1);
 }
 
-TEST_CASE("a server that starts again under its id, or is lost, counts as cold until it says so") {
+TEST_CASE("a server that may have restarted or become cold counts as cold") {
   IngressFixture ingress;
   ingress.state.setService(serviceThatWarmsUp());
   ingress.state.onHealth({"i-1", Duration(0)});
   CHECK_FALSE(ingress.state.isCold(ingress.environment.now()));
-  SUBCASE("its entry names another start") {
+  SUBCASE("its entry has another start time") {
     model::ServerEntry entry = *ingress.state.server();
     entry.started_ms = 1791000000123;
     ingress.state.setServer(entry);
   }
-  SUBCASE("its entry says that it turned cold") {
+  SUBCASE("its entry reports that it became cold") {
     model::ServerEntry entry = *ingress.state.server();
     entry.warm_up_left = seconds(2);
     ingress.state.setServer(entry);
   }
-  SUBCASE("a connection to it cannot be made") {
+  SUBCASE("a connection to it fails") {
     const auto exchange = ingress.send("r");
     exchange->flow->onAttemptFailed(1, AttemptFailure::kConnectFailed);
   }
@@ -483,7 +484,8 @@
   CHECK(ingress.state.isCold(ingress.environment.now()));
 }
 
-TEST_CASE("in a drained zone nothing begins, what waits is refused as not run, what runs ends") {
+TEST_CASE(
+    "in a drained zone new and waiting requests are refused as not run, running ones finish") {
   IngressFixture ingress;
   const auto running = ingress.send("r1");
   const auto other = ingress.send("r2");
@@ -501,14 +503,14 @@
 
 namespace {
 
-const RequestFingerprint kGuilty(77);
+const RequestFingerprint kCrashingRequest(77);
 
-/// An ingress that knows of two ends under kGuilty.
+/// An ingress that knows of two server ends while kCrashingRequest was running.
 struct SuspectFixture : IngressFixture {
   SuspectFixture() {
     state.setSuspects(&suspects);
     for (const ServerEndId end : {1, 2}) {
-      suspects.onServerEnd(end, std::vector{kGuilty}, environment.now());
+      suspects.onServerEnd(end, std::vector{kCrashingRequest}, environment.now());
     }
   }
   admission::CrashSuspects suspects;
@@ -516,47 +518,49 @@
 
 }  // namespace
 
-TEST_CASE("an egress that does not know of a suspect yet is told, and nothing runs") {
+TEST_CASE("a crash suspect from an egress that does not know of it is refused and does not run") {
   SuspectFixture fixture;
-  const auto unaware = fixture.sendLike(kGuilty, "r1");
+  const auto unaware = fixture.sendWithFingerprint(kCrashingRequest, "r1");
   checkRefused(*unaware, "crashes_servers");
   CHECK(unaware->io.plans.empty());
-  CHECK(fixture.sendLike(RequestFingerprint(78), "r2")->isOpen());
+  CHECK(fixture.sendWithFingerprint(RequestFingerprint(78), "r2")->isOpen());
 }
 
-TEST_CASE("one trial of a request runs at a time, and an answer lets all others run") {
+TEST_CASE("only one trial of a crash suspect runs at a time, and its answer clears the suspect") {
   SuspectFixture fixture;
-  const auto trial = fixture.sendLike(kGuilty, "r1", /*is_trial=*/true);
+  const auto trial = fixture.sendWithFingerprint(kCrashingRequest, "r1", /*is_trial=*/true);
   CHECK(trial->io.plans.size() == 1);
-  checkRefused(*fixture.sendLike(kGuilty, "r2", /*is_trial=*/true), "crashes_servers");
+  checkRefused(*fixture.sendWithFingerprint(kCrashingRequest, "r2", /*is_trial=*/true),
+               "crashes_servers");
   trial->answerWhole();
-  CHECK(fixture.suspects.ends(kGuilty) == 0);
-  CHECK(fixture.sendLike(kGuilty, "r3")->isOpen());
+  CHECK(fixture.suspects.ends(kCrashingRequest) == 0);
+  CHECK(fixture.sendWithFingerprint(kCrashingRequest, "r3")->isOpen());
 }
 
-TEST_CASE("a trial that lost its server is not followed by another at once") {
+TEST_CASE("a failed trial is not followed by another one at once") {
   SuspectFixture fixture;
-  const auto trial = fixture.sendLike(kGuilty, "r1", /*is_trial=*/true);
+  const auto trial = fixture.sendWithFingerprint(kCrashingRequest, "r1", /*is_trial=*/true);
   trial->fail(AttemptFailure::kLostAfterSend);
-  checkRefused(*fixture.sendLike(kGuilty, "r2", /*is_trial=*/true), "crashes_servers");
+  checkRefused(*fixture.sendWithFingerprint(kCrashingRequest, "r2", /*is_trial=*/true),
+               "crashes_servers");
   fixture.environment.advance(seconds(10));
-  CHECK(fixture.sendLike(kGuilty, "r3", /*is_trial=*/true)->isOpen());
+  CHECK(fixture.sendWithFingerprint(kCrashingRequest, "r3", /*is_trial=*/true)->isOpen());
 }
 
-TEST_CASE("a trial that the server did not take is none") {
+TEST_CASE("a trial that did not reach the server does not count as failed") {
   SuspectFixture fixture;
-  const auto trial = fixture.sendLike(kGuilty, "r1", /*is_trial=*/true);
+  const auto trial = fixture.sendWithFingerprint(kCrashingRequest, "r1", /*is_trial=*/true);
   trial->fail(AttemptFailure::kConnectFailed);
   fixture.environment.advance(seconds(1));
-  CHECK(fixture.sendLike(kGuilty, "r2", /*is_trial=*/true)->isOpen());
+  CHECK(fixture.sendWithFingerprint(kCrashingRequest, "r2", /*is_trial=*/true)->isOpen());
 }
 
-TEST_CASE("what waits for a slot while servers end under its like does not run") {
+TEST_CASE("a request that becomes a crash suspect while it waits does not run") {
   SuspectFixture fixture;
   const RequestFingerprint later(79);
-  const auto first = fixture.sendLike(RequestFingerprint(1), "r1");
-  const auto second = fixture.sendLike(RequestFingerprint(2), "r2");
-  const auto waiting = fixture.sendLike(later, "r3");
+  const auto first = fixture.sendWithFingerprint(RequestFingerprint(1), "r1");
+  const auto second = fixture.sendWithFingerprint(RequestFingerprint(2), "r2");
+  const auto waiting = fixture.sendWithFingerprint(later, "r3");
   CHECK(waiting->io.plans.empty());
   for (const ServerEndId end : {3, 4}) {
     fixture.suspects.onServerEnd(end, std::vector{later}, fixture.environment.now());
@@ -566,19 +570,19 @@
   CHECK(waiting->io.plans.empty());
 }
 
-TEST_CASE("a server that is back under its id before anyone looked had ended all the same") {
+TEST_CASE("a restart under the same id that the port check missed is still detected as an end") {
   IngressFixture fixture;
-  std::vector<RequestFingerprint> told;
+  std::vector<RequestFingerprint> reported;
   fixture.state.serverEnds().onEnd([&](ServerEndId, std::span<const RequestFingerprint> requests) {
-    told.insert(told.end(), requests.begin(), requests.end());
+    reported.insert(reported.end(), requests.begin(), requests.end());
   });
-  fixture.sendLike(kGuilty, "r1")->fail(AttemptFailure::kLostAfterSend);
+  fixture.sendWithFingerprint(kCrashingRequest, "r1")->fail(AttemptFailure::kLostAfterSend);
   fixture.state.serverEnds().onPort(ServerPort::kOpen, fixture.environment.now());
   fixture.environment.advance(milliseconds(300));
   model::ServerEntry entry = *fixture.state.server();
   entry.started_ms = 1'700'000'000'000;
   fixture.state.setServer(entry);
-  CHECK(told == std::vector{kGuilty});
+  CHECK(reported == std::vector{kCrashingRequest});
 }
 
 }  // namespace coursepond::ingress
--- a/tests/ingress/rejection_rate_test.cpp
+++ b/tests/ingress/rejection_rate_test.cpp
@@ -18,11 +18,11 @@
     }
   }
   int turnedAway(int asked) {
-    int turned = 0;
+    int turned_away = 0;
     for (int number = 0; number < asked; ++number) {
-      turned += rate.turnsAway(settings, environment.now(), environment) ? 1 : 0;
+      turned_away += rate.turnsAway(settings, environment.now(), environment) ? 1 : 0;
     }
-    return turned;
+    return turned_away;
   }
 
   RejectionRateSettings settings;
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("a server that answers gets all, also after a single rejection") {
+TEST_CASE("a server that answers gets all requests, also after a single rejection") {
   RateFixture fixture;
   fixture.answer(50, false);
   CHECK(fixture.turnedAway(1000) == 0);
@@ -40,18 +40,18 @@
   CHECK(fixture.turnedAway(1000) == 0);
 }
 
-TEST_CASE("a server that rejects half of what it gets is offered to few, and is still tried") {
+TEST_CASE("a server that rejects half of its requests gets only a few") {
   RateFixture fixture;
   for (int round = 0; round < 20; ++round) {
     fixture.answer(1, true);
     fixture.answer(1, false);
   }
-  const int turned = fixture.turnedAway(10'000);
-  CHECK(turned > 9'700);
-  CHECK(turned < 10'000);
+  const int turned_away = fixture.turnedAway(10'000);
+  CHECK(turned_away > 9'700);
+  CHECK(turned_away < 10'000);
 }
 
-TEST_CASE("a server that is avoided is tried again after some seconds") {
+TEST_CASE("an avoided server is used again after some seconds") {
   RateFixture fixture;
   fixture.answer(30, true);
   CHECK(fixture.turnedAway(1000) > 950);
@@ -59,7 +59,7 @@
   CHECK(fixture.turnedAway(1000) == 0);
 }
 
-TEST_CASE("a server that recovered gets all again after some answers") {
+TEST_CASE("a server that recovered gets all requests again after some answers") {
   RateFixture fixture;
   fixture.answer(30, true);
   fixture.answer(25, false);
