--- a/tests/ingress/server_end_watch_test.cpp
+++ b/tests/ingress/server_end_watch_test.cpp
@@ -12,17 +12,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A watch, and what it asked and told.
+/// A watch with the number of its port checks and the ends that it reported.
 struct WatchFixture {
   WatchFixture() {
-    watch.onPortWanted([this] { ++asked; });
+    watch.onPortWanted([this] { ++port_checks; });
     watch.onEnd([this](ServerEndId end, std::span<const RequestFingerprint> requests) {
       ends.push_back(end);
-      told.insert(told.end(), requests.begin(), requests.end());
+      reported.insert(reported.end(), requests.begin(), requests.end());
     });
   }
 
-  /// Sent so long ago, and lost now.
+  /// Reports the loss of a request that was sent `sent_ago` before now.
   void lose(std::uint64_t request, milliseconds sent_ago) {
     const TimePoint now = environment.now();
     watch.onLost(RequestFingerprint(request), now - sent_ago, now);
@@ -30,26 +30,25 @@
 
   proxy::VirtualEnvironment environment;
   ServerEndWatch watch{environment};
-  int asked = 0;
+  int port_checks = 0;
   std::vector<ServerEndId> ends;
-  std::vector<RequestFingerprint> told;
+  std::vector<RequestFingerprint> reported;
 };
 
 }  // namespace
 
-TEST_CASE("what was lost when the server's port closed ended with the server, as one end") {
+TEST_CASE("all requests lost before the port is found closed are reported with one server end") {
   WatchFixture fixture;
   fixture.lose(1, milliseconds(50));
   fixture.lose(2, milliseconds(90));
-  CHECK(fixture.asked == 1);
+  CHECK(fixture.port_checks == 1);
   CHECK(fixture.ends.empty());
   fixture.watch.onPort(ServerPort::kClosed, fixture.environment.now());
   CHECK(fixture.ends.size() == 1);
-  CHECK(fixture.told == std::vector{RequestFingerprint(1), RequestFingerprint(2)});
+  CHECK(fixture.reported == std::vector{RequestFingerprint(1), RequestFingerprint(2)});
 }
 
-TEST_CASE(
-    "a loss that is found late belongs to the end that is known, a later request's does not") {
+TEST_CASE("a loss detected late belongs to the known end, the loss of a later request does not") {
   WatchFixture fixture;
   fixture.lose(1, milliseconds(50));
   fixture.watch.onPort(ServerPort::kClosed, fixture.environment.now());
@@ -66,22 +65,22 @@
   CHECK(fixture.ends[2] != fixture.ends[0]);
 }
 
-TEST_CASE("lost answers of a server whose port is open, or says nothing, are no end") {
+TEST_CASE("lost answers are not a server end if the port is open or its state is unknown") {
   for (const ServerPort port : {ServerPort::kOpen, ServerPort::kUnknown}) {
     WatchFixture fixture;
     fixture.lose(1, milliseconds(50));
     fixture.watch.onPort(port, fixture.environment.now());
     CHECK(fixture.ends.empty());
-    // The next losses ask again, once and not at once.
+    // Further losses cause only one more check, after a pause.
     fixture.lose(2, milliseconds(50));
     fixture.lose(3, milliseconds(50));
-    CHECK(fixture.asked == 1);
+    CHECK(fixture.port_checks == 1);
     fixture.environment.advance(milliseconds(100));
-    CHECK(fixture.asked == 2);
+    CHECK(fixture.port_checks == 2);
   }
 }
 
-TEST_CASE("an answer that was lost before the server ended is not blamed for its end") {
+TEST_CASE("a request lost before the port was last seen open is not reported with the end") {
   WatchFixture fixture;
   fixture.lose(1, milliseconds(50));
   fixture.environment.advance(milliseconds(2));
@@ -89,29 +88,29 @@
   fixture.environment.advance(seconds(1));
   fixture.lose(2, milliseconds(50));
   fixture.watch.onPort(ServerPort::kClosed, fixture.environment.now());
-  CHECK(fixture.told == std::vector{RequestFingerprint(2)});
+  CHECK(fixture.reported == std::vector{RequestFingerprint(2)});
 }
 
-TEST_CASE("a server that is back before its port was looked at is told by its next start") {
+TEST_CASE("a restart that is faster than the port check is detected by the new instance") {
   WatchFixture fixture;
   fixture.lose(1, milliseconds(50));
   fixture.watch.onPort(ServerPort::kOpen, fixture.environment.now());
   fixture.environment.advance(milliseconds(500));
-  fixture.watch.onAnotherStart(fixture.environment.now());
-  CHECK(fixture.told == std::vector{RequestFingerprint(1)});
+  fixture.watch.onRestart(fixture.environment.now());
+  CHECK(fixture.reported == std::vector{RequestFingerprint(1)});
 
-  // What was lost long before says nothing of this start.
+  // A request lost long before a restart is not related to it.
   fixture.environment.advance(seconds(1));
   fixture.lose(2, milliseconds(50));
   fixture.watch.onPort(ServerPort::kOpen, fixture.environment.now());
   fixture.environment.advance(seconds(10));
-  fixture.watch.onAnotherStart(fixture.environment.now());
+  fixture.watch.onRestart(fixture.environment.now());
   CHECK(fixture.ends.size() == 1);
 }
 
-TEST_CASE("a start of a server under which nothing was lost is no end") {
+TEST_CASE("a restart without lost requests is not reported as an end") {
   WatchFixture fixture;
-  fixture.watch.onAnotherStart(fixture.environment.now());
+  fixture.watch.onRestart(fixture.environment.now());
   CHECK(fixture.ends.empty());
 }
 
--- a/tests/ingress/work_queue_test.cpp
+++ b/tests/ingress/work_queue_test.cpp
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant that floods the queue waits behind itself, not before others") {
+TEST_CASE("a tenant that floods the queue delays its own requests, not those of others") {
   WorkQueue queue;
   std::vector<TestWaiter> flood(4, TestWaiter("hot", 1, milliseconds(100)));
   for (TestWaiter& waiter : flood) queue.add(waiter);
@@ -45,7 +45,7 @@
         std::vector<const Waiter*>{&flood[0], &other, &flood[1], &flood[2], &flood[3]});
 }
 
-TEST_CASE("a more urgent rank goes before any turn, and each rank has turns of its own") {
+TEST_CASE("a lower rank goes before any turn, and each rank has its own turns") {
   WorkQueue queue;
   std::vector<TestWaiter> urgent(2, TestWaiter("hot", 0, milliseconds(300)));
   TestWaiter other("calm", 1, milliseconds(100));
@@ -56,7 +56,7 @@
   CHECK(drain(queue) == std::vector<const Waiter*>{&urgent[0], &urgent[1], &later, &other});
 }
 
-TEST_CASE("without tenants the one whose target comes first goes first") {
+TEST_CASE("without tenants the request with the earliest target time goes first") {
   WorkQueue queue;
   TestWaiter late("", 1, milliseconds(300));
   TestWaiter early("", 1, milliseconds(100));
