--- a/src/egress/egress_state.cpp
+++ b/src/egress/egress_state.cpp
@@ -192,7 +192,7 @@
 void EgressState::onUnreachable(Server& server, TimePoint now) {
   if (server.failures == 0) note(proxy::ServerChange::kUnreachable, server.entry.id);
   const std::uint32_t shift = std::min(server.failures++, kMaxAvoidShift);
-  const Duration pause = std::min(settings_.avoid * (1U << shift), settings_.longest_avoid);
+  const Duration pause = std::min(settings_.initial_avoid * (1U << shift), settings_.longest_avoid);
   server.avoid_until = std::max(server.avoid_until, now + pause);
 }
 
--- a/src/egress/settings.h
+++ b/src/egress/settings.h
@@ -62,7 +62,7 @@
   Duration receipt_timeout = std::chrono::milliseconds(250);
   /// Time for which a server is avoided after its ingress could not be reached. Doubles with each
   /// further failure up to `longest_avoid`.
-  Duration avoid = std::chrono::milliseconds(150);
+  Duration initial_avoid = std::chrono::milliseconds(150);
   Duration longest_avoid = std::chrono::seconds(1);
   /// Time for which a server is avoided after its ingress reported that it is draining.
   Duration avoid_draining = std::chrono::milliseconds(500);
