--- a/src/egress/egress_flow.cpp
+++ b/src/egress/egress_flow.cpp
@@ -635,7 +635,7 @@
   return is_in_time && !was_turned_away ? proxy::RepeatUse::kAll : proxy::RepeatUse::kHalf;
 }
 
-// ---- Ends
+// ---- Completion
 
 void EgressFlow::onDeadline(TimePoint now) {
   if (phase_ == Phase::kAttempting && now < effectiveDeadline() && !was_received_)
--- a/src/egress/settings.h
+++ b/src/egress/settings.h
@@ -64,7 +64,8 @@
   /// further failure up to `longest_avoid`.
   Duration initial_avoid = std::chrono::milliseconds(150);
   Duration longest_avoid = std::chrono::seconds(1);
-  /// Time for which a server is avoided after its ingress reported that it is draining.
+  /// Time for which a server is used only as a last resort after its ingress reported that it is
+  /// draining.
   Duration avoid_draining = std::chrono::milliseconds(500);
 
   /// How long a server stays usable after its entry disappeared without a leaving state, if its
--- a/src/egress/slot_search_settings.h
+++ b/src/egress/slot_search_settings.h
@@ -13,8 +13,8 @@
   std::uint32_t most_full_ingresses = 5;
   /// The same for calls made by running requests, which may wait at each ingress. Calls go before
   /// all other requests in the queue, so that they get a slot sooner than further ingresses would
-  /// answer. Asking more ingresses for a free slot gains little on large machines, and overloads
-  /// nodes with little CPU time when requests make many short calls.
+  /// answer. Asking further ingresses for a free slot gains little, and overloads nodes with a
+  /// tenth of a core when each request makes two short calls.
   std::uint32_t most_full_for_calls = 2;
   /// Number of servers in the own zone that are asked for a free slot however busy they seem. These
   /// requests cause no traffic between zones, and without them many more answers come from other
