--- a/src/admission/crash_suspects.cpp
+++ b/src/admission/crash_suspects.cpp
@@ -8,52 +8,57 @@
 namespace coursepond::admission {
 namespace {
 
-/// One end is what everything that ran at the server has: too little to hold a request back.
-constexpr std::size_t kTrialFrom = 2;
-/// Operators bound how often a request that is known to end servers may still reach one, trials
-/// that two nodes begin at once included.
-constexpr std::size_t kMostTrials = 2;
-/// Ends, or trials, that are kept of a request: more make no difference.
-constexpr std::size_t kMostIds = 5;
-/// Of the records, the part that is forgotten at once when there are too many.
-constexpr std::size_t kForgottenPart = 8;
-
-/// All nodes keep the same ones, whatever order they learned them in.
+/// Number of server ends from which on a request is a suspect. A single end is not enough: every
+/// request that was running on that server has one.
+constexpr std::size_t kMinEndsOfSuspect = 2;
+/// Maximum number of trials without an answer. Operators set an upper bound for how often a request
+/// that is known to crash servers may still reach one, which includes trials that two nodes start
+/// at the same time.
+constexpr std::size_t kMaxTrials = 2;
+/// Maximum number of ends and of trials stored per request. More would not change any decision.
+constexpr std::size_t kMaxIds = 5;
+/// When there are too many records, one in this many is evicted at once.
+constexpr std::size_t kEvictionDivisor = 8;
+
+/// Inserts `id` and keeps the kMaxIds lowest ids, so that all nodes keep the same ones in whatever
+/// order they learn them. Returns whether `ids` changed.
 bool addSorted(std::vector<std::uint64_t>& ids, std::uint64_t id) {
-  const auto place = std::lower_bound(ids.begin(), ids.end(), id);
-  if (place != ids.end() && *place == id) return false;
-  if (ids.size() >= kMostIds && place == ids.end()) return false;
-  ids.insert(place, id);
-  if (ids.size() > kMostIds) ids.pop_back();
+  const auto position = std::lower_bound(ids.begin(), ids.end(), id);
+  if (position != ids.end() && *position == id) return false;
+  if (ids.size() >= kMaxIds && position == ids.end()) return false;
+  ids.insert(position, id);
+  if (ids.size() > kMaxIds) ids.pop_back();
   return true;
 }
 
 bool addAllSorted(std::vector<std::uint64_t>& ids, const std::vector<std::uint64_t>& added) {
-  bool is_news = false;
-  for (const std::uint64_t id : added) is_news = addSorted(ids, id) || is_news;
-  return is_news;
+  bool is_changed = false;
+  for (const std::uint64_t id : added) is_changed = addSorted(ids, id) || is_changed;
+  return is_changed;
 }
 
 }  // namespace
 
-bool CrashSuspects::isSuspected(const Record& record) { return record.ends.size() >= kTrialFrom; }
+bool CrashSuspects::isSuspected(const Record& record) {
+  return record.ends.size() >= kMinEndsOfSuspect;
+}
 
-TimePoint CrashSuspects::trialAt(const Record& record) const {
+TimePoint CrashSuspects::nextTrialAt(const Record& record) const {
   if (record.trials.empty()) return record.changed_at;
-  if (record.trials.size() >= kMostTrials) return TimePoint::max();
+  if (record.trials.size() >= kMaxTrials) return TimePoint::max();
   return record.changed_at + settings_.trial_pause;
 }
 
 CrashVerdict CrashSuspects::verdict(RequestFingerprint request, TimePoint now) const {
   const auto found = records_.find(request);
   if (found == records_.end() || !isSuspected(found->second)) return CrashVerdict::kMayRun;
-  return now >= trialAt(found->second) ? CrashVerdict::kTrialOnly : CrashVerdict::kMayNotRun;
+  return now >= nextTrialAt(found->second) ? CrashVerdict::kTrialOnly : CrashVerdict::kMayNotRun;
 }
 
 std::optional<Duration> CrashSuspects::trialIn(RequestFingerprint request, TimePoint now) const {
   const auto found = records_.find(request);
   if (found == records_.end()) return Duration(0);
-  const TimePoint due = trialAt(found->second);
+  const TimePoint due = nextTrialAt(found->second);
   if (due == TimePoint::max()) return std::nullopt;
   return std::max(Duration(0), due - now);
 }
@@ -65,12 +70,12 @@
 
 void CrashSuspects::onServerEnd(ServerEndId end, std::span<const RequestFingerprint> requests,
                                 TimePoint now) {
-  if (std::exchange(last_own_end_, end) != end) ++statistics_.server_ends;
+  if (std::exchange(last_end_, end) != end) ++statistics_.server_ends;
   for (const RequestFingerprint request : requests) {
     if (!request.empty()) addEnd(request, end, now);
   }
-  makeRoom();
-  tellChange();
+  evictExcess();
+  notifyChange();
 }
 
 void CrashSuspects::addEnd(RequestFingerprint request, ServerEndId end, TimePoint now) {
@@ -79,7 +84,7 @@
   addSorted(record.ends, end);
   record.changed_at = now;
   record.learned_at = now;
-  tellVerdict(request, before, record.ends.size());
+  notifyVerdict(request, before, record.ends.size());
 }
 
 void CrashSuspects::onTrialFailed(RequestFingerprint request, TrialId trial, TimePoint now) {
@@ -88,7 +93,7 @@
   addSorted(found->second.trials, trial);
   found->second.changed_at = now;
   found->second.learned_at = now;
-  tellChange();
+  notifyChange();
 }
 
 void CrashSuspects::onAnswered(RequestFingerprint request, TimePoint now) {
@@ -102,57 +107,57 @@
   record.changed_at = now;
   record.learned_at = now;
   ++statistics_.cleared;
-  tellVerdict(request, before, 0);
-  if (before >= kTrialFrom) tellChange();
+  notifyVerdict(request, before, 0);
+  if (before >= kMinEndsOfSuspect) notifyChange();
 }
 
 bool CrashSuspects::merge(std::span<const SuspectReport> reports, TimePoint now) {
-  bool is_news = false;
-  for (const SuspectReport& report : reports) is_news = take(report, now) || is_news;
-  if (!is_news) return false;
-  makeRoom();
-  tellChange();
+  bool is_changed = false;
+  for (const SuspectReport& report : reports) is_changed = mergeReport(report, now) || is_changed;
+  if (!is_changed) return false;
+  evictExcess();
+  notifyChange();
   return true;
 }
 
-bool CrashSuspects::take(const SuspectReport& report, TimePoint now) {
-  Record told;
-  told.round = report.round;
-  addAllSorted(told.ends, report.ends);
-  addAllSorted(told.trials, report.trials);
-  told.changed_at = now - std::max(report.age, Duration(0));
-  told.learned_at = now;
-  if (report.request.empty() || isOld(told, now)) return false;
-  const auto [found, is_new] = records_.try_emplace(report.request, told);
+bool CrashSuspects::mergeReport(const SuspectReport& report, TimePoint now) {
+  Record reported;
+  reported.round = report.round;
+  addAllSorted(reported.ends, report.ends);
+  addAllSorted(reported.trials, report.trials);
+  reported.changed_at = now - std::max(report.age, Duration(0));
+  reported.learned_at = now;
+  if (report.request.empty() || isExpired(reported, now)) return false;
+  const auto [found, is_new] = records_.try_emplace(report.request, reported);
   Record& record = found->second;
   const std::size_t ends_before = is_new ? 0 : record.ends.size();
-  if (!is_new && !mergeRound(record, told)) return false;
+  if (!is_new && !mergeRound(record, reported)) return false;
   record.learned_at = now;
-  tellVerdict(report.request, ends_before, record.ends.size());
+  notifyVerdict(report.request, ends_before, record.ends.size());
   return true;
 }
 
-/// Returns whether `told` brought news.
-bool CrashSuspects::mergeRound(Record& record, const Record& told) const {
-  if (told.round < record.round) return false;
-  if (told.round > record.round) {
-    record = told;
+/// Returns whether `reported` changed the record.
+bool CrashSuspects::mergeRound(Record& record, const Record& reported) const {
+  if (reported.round < record.round) return false;
+  if (reported.round > record.round) {
+    record = reported;
     return true;
   }
-  const bool has_ends = addAllSorted(record.ends, told.ends);
-  const bool has_trials = addAllSorted(record.trials, told.trials);
+  const bool has_ends = addAllSorted(record.ends, reported.ends);
+  const bool has_trials = addAllSorted(record.trials, reported.trials);
   if (!has_ends && !has_trials) return false;
-  record.changed_at = std::max(record.changed_at, told.changed_at);
+  record.changed_at = std::max(record.changed_at, reported.changed_at);
   return true;
 }
 
-void CrashSuspects::tellVerdict(RequestFingerprint request, std::size_t ends_before,
-                                std::size_t ends) const {
-  const bool is_notable = ends >= kTrialFrom || ends_before >= kTrialFrom;
+void CrashSuspects::notifyVerdict(RequestFingerprint request, std::size_t ends_before,
+                                  std::size_t ends) const {
+  const bool is_notable = ends >= kMinEndsOfSuspect || ends_before >= kMinEndsOfSuspect;
   if (on_verdict_ && is_notable && ends != ends_before) on_verdict_(request, ends);
 }
 
-std::vector<SuspectReport> CrashSuspects::reports(TimePoint now, std::size_t most) const {
+std::vector<SuspectReport> CrashSuspects::reports(TimePoint now, std::size_t limit) const {
   std::vector<SuspectReport> reports;
   for (const auto& [request, record] : records_) {
     if (!isSuspected(record)) continue;
@@ -164,12 +169,12 @@
     return left.request < right.request;
   };
   std::sort(reports.begin(), reports.end(), is_before);
-  if (reports.size() > most) reports.resize(most);
+  if (reports.size() > limit) reports.resize(limit);
   return reports;
 }
 
-std::vector<SuspectReport> CrashSuspects::laterThan(std::span<const SuspectReport> reports,
-                                                    TimePoint now) const {
+std::vector<SuspectReport> CrashSuspects::laterRounds(std::span<const SuspectReport> reports,
+                                                      TimePoint now) const {
   std::vector<SuspectReport> later;
   for (const SuspectReport& report : reports) {
     const auto found = records_.find(report.request);
@@ -179,8 +184,8 @@
   return later;
 }
 
-std::vector<SuspectReport> CrashSuspects::news(TimePoint since, TimePoint now,
-                                               std::size_t most) const {
+std::vector<SuspectReport> CrashSuspects::changesSince(TimePoint since, TimePoint now,
+                                                       std::size_t limit) const {
   std::vector<std::pair<TimePoint, SuspectReport>> found;
   for (const auto& [request, record] : records_) {
     if (record.learned_at <= since) continue;
@@ -188,7 +193,7 @@
   }
   std::sort(found.begin(), found.end(),
             [](const auto& left, const auto& right) { return left.first > right.first; });
-  if (found.size() > most) found.resize(most);
+  if (found.size() > limit) found.resize(limit);
   std::vector<SuspectReport> reports;
   reports.reserve(found.size());
   for (auto& [learned_at, report] : found) reports.push_back(std::move(report));
@@ -207,36 +212,36 @@
   return sum;
 }
 
-bool CrashSuspects::isOld(const Record& record, TimePoint now) const {
+bool CrashSuspects::isExpired(const Record& record, TimePoint now) const {
   const Duration kept = record.ends.empty() ? settings_.answer_memory : settings_.memory;
   return now - record.changed_at > kept;
 }
 
-void CrashSuspects::forgetOld(TimePoint now) {
-  std::erase_if(records_, [&](const auto& entry) { return isOld(entry.second, now); });
+void CrashSuspects::removeExpired(TimePoint now) {
+  std::erase_if(records_, [&](const auto& entry) { return isExpired(entry.second, now); });
 }
 
-/// Under a flood of different requests, those that matter least go: what few servers ended under,
-/// and of these what is oldest.
-void CrashSuspects::makeRoom() {
-  if (records_.size() <= settings_.most_records) return;
+/// Evicts records when there are too many, as under a flood of different requests: those with the
+/// fewest server ends first, and the oldest of these first.
+void CrashSuspects::evictExcess() {
+  if (records_.size() <= settings_.max_records) return;
   using Rank = std::pair<std::size_t, TimePoint>;
   std::vector<Rank> ranks;
   ranks.reserve(records_.size());
   for (const auto& [request, record] : records_) {
     ranks.emplace_back(record.ends.size(), record.changed_at);
   }
-  const std::size_t kept = settings_.most_records - settings_.most_records / kForgottenPart;
+  const std::size_t kept = settings_.max_records - settings_.max_records / kEvictionDivisor;
   std::size_t excess = records_.size() - kept;
   const auto bound = ranks.begin() + static_cast<std::ptrdiff_t>(excess);
   std::nth_element(ranks.begin(), bound, ranks.end());
   const Rank least_kept = *bound;
   statistics_.forgotten += excess;
   std::erase_if(records_, [&](const auto& entry) {
-    const bool goes =
+    const bool is_evicted =
         excess > 0 && Rank(entry.second.ends.size(), entry.second.changed_at) <= least_kept;
-    if (goes) --excess;
-    return goes;
+    if (is_evicted) --excess;
+    return is_evicted;
   });
 }
 
--- a/src/admission/crash_suspects.h
+++ b/src/admission/crash_suspects.h
@@ -1,20 +1,20 @@
 #pragma once
 
-/// Requests under which servers ended, and whether such a request may run again ("queries of
-/// death").
+/// Tracks requests that were running when servers ended, and decides whether such a request may run
+/// again ("queries of death").
 ///
-/// The load that this answers: one request ends each server that runs it, and its callers send it
-/// again through any node, so that a service of few servers is down for as long as they do. What
-/// runs beside it at a server ends with it: of some 20 requests that are suspected after one end,
-/// 19 are innocent. They are told apart by what happens next. A request that is answered is no
-/// suspect any more, everywhere. One under which two servers ended without an answer in between
-/// only runs as a trial, alone of its kind and at one server: at once, so that a popular innocent
-/// one is refused for no longer than one run takes, also after many servers went at the same
-/// moment; once more after a pause if it got no answer; and then no more.
+/// A request that crashes every server that runs it is sent again by its callers through any node,
+/// so that a service with few servers stays down for as long as the callers retry. The other
+/// requests on a crashing server are suspected with it: of some 20 requests that are suspected
+/// after one end, 19 are innocent. What happens next distinguishes them. A request that is answered
+/// is cleared on all nodes. A request with two server ends and no answer in between only runs as a
+/// trial, one at a time and on one server. The first trial is allowed at once, so that a popular
+/// innocent request is refused for no longer than one run takes, even after many servers ended at
+/// the same moment. If it gets no answer, a second trial is allowed after a pause, and then none.
 ///
-/// Each node holds its own table, and tables are merged, in any order and any number of times, to
-/// the same one (see SuspectGossip). An answer opens a new round of a record, which replaces what
-/// was counted in rounds before.
+/// Each node has its own table. Merging tables is commutative and idempotent, so that all nodes
+/// converge to the same table (see SuspectGossip). An answer starts a new round of a record, which
+/// replaces the ends and trials of earlier rounds.
 
 #include <cstddef>
 #include <cstdint>
@@ -29,76 +29,82 @@
 
 namespace coursepond::admission {
 
-/// One trial of one request, named at random by the node beside its server.
+/// Identifies one trial of one request. Chosen at random by the node of the server that runs it.
 using TrialId = std::uint64_t;
 
-/// What a node tells others of a request.
+/// State of one request, as sent to other nodes.
 struct SuspectReport {
   RequestFingerprint request;
-  std::uint32_t round = 0;        ///< How often it was answered after servers had ended under it.
-  Duration age{};                 ///< Since its last end, trial or answer.
-  std::vector<ServerEndId> ends;  ///< In its round; sorted.
-  std::vector<TrialId> trials;    ///< Without an answer, in its round; sorted.
+  std::uint32_t round = 0;        ///< Number of times an answer cleared the request.
+  Duration age{};                 ///< Time since its last end, trial or answer.
+  std::vector<ServerEndId> ends;  ///< Server ends in this round; sorted.
+  std::vector<TrialId> trials;    ///< Trials without an answer in this round; sorted.
   friend bool operator==(const SuspectReport&, const SuspectReport&) = default;
 };
 
 enum class CrashVerdict {
   kMayRun,
-  kTrialOnly,  ///< One at a time, at one server.
+  kTrialOnly,  ///< May run as a trial: one at a time, on one server.
   kMayNotRun,
 };
 
 struct CrashSuspectSettings {
-  /// Records held; the ones with fewest ends, and of these the oldest, are forgotten first.
-  std::size_t most_records = 4096;
-  /// Pause before the second trial: what else made servers end is over by then, or known.
+  /// Maximum number of records. Those with the fewest ends are evicted first, oldest first.
+  std::size_t max_records = 4096;
+  /// Pause before the second trial. By then, any other cause of server ends is over or known.
   Duration trial_pause = std::chrono::seconds(10);
-  /// A suspect is forgotten so long after the last server ended under it.
+  /// Time after its last end or trial until a suspect is forgotten.
   Duration memory = std::chrono::hours(1);
-  /// An answer is remembered for as long as nodes may still tell of the rounds before.
+  /// Time until an answer is forgotten: as long as other nodes may still report earlier rounds.
   Duration answer_memory = std::chrono::minutes(1);
 };
 
 /// Counters for /metrics. Never reset.
 struct CrashSuspectStatistics {
-  std::uint64_t server_ends = 0;  ///< Of the own server, with requests on it.
-  std::uint64_t cleared = 0;      ///< Suspects that a server answered here.
-  std::uint64_t forgotten = 0;    ///< Records that made room for others.
+  std::uint64_t server_ends = 0;  ///< Ends of this node's server with requests in flight.
+  std::uint64_t cleared = 0;      ///< Records cleared by an answer on this node.
+  std::uint64_t forgotten = 0;    ///< Records evicted because there were too many.
 };
 
 class CrashSuspects {
  public:
-  /// A request becomes a suspect of trials, or stops being one.
+  /// Called when the number of ends of a suspect changes, which includes that the request becomes a
+  /// suspect or is cleared (`ends` is then zero).
   using VerdictListener = std::function<void(RequestFingerprint request, std::size_t ends)>;
 
   explicit CrashSuspects(const CrashSuspectSettings& settings = {}) : settings_(settings) {}
 
   CrashVerdict verdict(RequestFingerprint request, TimePoint now) const;
-  /// How long until a trial is due; nothing when none will be.
+  /// Returns the time until a trial is allowed, or nothing if no further trial is.
   std::optional<Duration> trialIn(RequestFingerprint request, TimePoint now) const;
+  /// Returns the number of server ends of the request in its current round.
   std::size_t ends(RequestFingerprint request) const;
 
-  /// The own server ended with these requests on it. May be called again with more of the same end.
+  /// Called when this node's server ended while these requests were running on it. May be called
+  /// again with further requests of the same end.
   void onServerEnd(ServerEndId end, std::span<const RequestFingerprint> requests, TimePoint now);
-  /// A trial that may have run ended without an answer.
+  /// Called when a trial that may have run ended without an answer.
   void onTrialFailed(RequestFingerprint request, TrialId trial, TimePoint now);
-  /// A server answered the request: it does not end its servers.
+  /// Called when a server answered the request, which shows that it does not crash servers.
   void onAnswered(RequestFingerprint request, TimePoint now);
 
-  /// Takes in what another node told. Returns whether any of it was news.
+  /// Merges the reports of another node. Returns whether any of them changed this table.
   bool merge(std::span<const SuspectReport> reports, TimePoint now);
-  /// Reports of all requests under suspicion, most ends first, at most `most`.
-  std::vector<SuspectReport> reports(TimePoint now, std::size_t most) const;
-  /// What this node holds of later rounds than `reports`, which their sender missed.
-  std::vector<SuspectReport> laterThan(std::span<const SuspectReport> reports, TimePoint now) const;
-  /// Reports of what this node learned after `since`, at most `most`, newest first.
-  std::vector<SuspectReport> news(TimePoint since, TimePoint now, std::size_t most) const;
-  /// Equal at nodes that hold the same under suspicion.
+  /// Returns reports of at most `limit` suspects, those with the most ends first.
+  std::vector<SuspectReport> reports(TimePoint now, std::size_t limit) const;
+  /// Returns this node's reports of the requests in `reports` for which it knows a later round,
+  /// which the sender of `reports` has missed.
+  std::vector<SuspectReport> laterRounds(std::span<const SuspectReport> reports,
+                                         TimePoint now) const;
+  /// Returns at most `limit` reports of records that changed after `since`, newest first.
+  std::vector<SuspectReport> changesSince(TimePoint since, TimePoint now, std::size_t limit) const;
+  /// Returns a hash of all suspects, which is equal on nodes that have the same suspects.
   std::uint64_t summary() const;
-  void forgetOld(TimePoint now);
+  void removeExpired(TimePoint now);
 
-  /// Called after each change that others should hear of soon. An answer after a single end can
-  /// wait for the next message: the end held nothing back.
+  /// Sets a callback that is called after each change that other nodes should learn of soon. An
+  /// answer after a single end can wait for the next message, because a single end does not
+  /// restrict the request.
   void onChange(std::function<void()> callback) { on_change_ = std::move(callback); }
   void onVerdict(VerdictListener listener) { on_verdict_ = std::move(listener); }
   std::size_t size() const { return records_.size(); }
@@ -107,10 +113,10 @@
  private:
   struct Record {
     std::uint32_t round = 0;
-    std::vector<ServerEndId> ends;  ///< Sorted; at most kMostIds.
-    std::vector<TrialId> trials;    ///< Likewise.
-    TimePoint changed_at;           ///< Its last end, trial or answer.
-    TimePoint learned_at;           ///< Here.
+    std::vector<ServerEndId> ends;  ///< Sorted; at most kMaxIds.
+    std::vector<TrialId> trials;    ///< Sorted; at most kMaxIds.
+    TimePoint changed_at;           ///< Time of its last end, trial or answer.
+    TimePoint learned_at;           ///< When this node last learned of a change.
   };
   using Records = std::unordered_map<RequestFingerprint, Record>;
 
@@ -118,14 +124,14 @@
   static SuspectReport reportOf(RequestFingerprint request, const Record& record, TimePoint now) {
     return {request, record.round, now - record.changed_at, record.ends, record.trials};
   }
-  TimePoint trialAt(const Record& record) const;
-  bool isOld(const Record& record, TimePoint now) const;
-  bool take(const SuspectReport& report, TimePoint now);
-  bool mergeRound(Record& record, const Record& told) const;
+  TimePoint nextTrialAt(const Record& record) const;
+  bool isExpired(const Record& record, TimePoint now) const;
+  bool mergeReport(const SuspectReport& report, TimePoint now);
+  bool mergeRound(Record& record, const Record& reported) const;
   void addEnd(RequestFingerprint request, ServerEndId end, TimePoint now);
-  void tellVerdict(RequestFingerprint request, std::size_t ends_before, std::size_t ends) const;
-  void makeRoom();
-  void tellChange() const {
+  void notifyVerdict(RequestFingerprint request, std::size_t ends_before, std::size_t ends) const;
+  void evictExcess();
+  void notifyChange() const {
     if (on_change_) on_change_();
   }
 
@@ -134,7 +140,7 @@
   std::function<void()> on_change_;
   VerdictListener on_verdict_;
   CrashSuspectStatistics statistics_;
-  ServerEndId last_own_end_ = 0;
+  ServerEndId last_end_ = 0;
 };
 
 }  // namespace coursepond::admission
--- a/src/admission/quota_accounts.cpp
+++ b/src/admission/quota_accounts.cpp
@@ -13,16 +13,16 @@
 namespace coursepond::admission {
 namespace {
 
-/// Demand is counted over about this: shorter than the loads change, longer than the gaps between
-/// the requests of a tenant that is worth asking ahead for.
+/// Half-life of the average demand. Shorter than the time in which loads change, and longer than
+/// the gaps between the requests of a tenant for which borrowing ahead is worthwhile.
 constexpr Duration kDemandHalfLife = std::chrono::seconds(1);
-/// An account says nothing more after this: its lease is over and its demand forgotten.
-constexpr Duration kIdleHold = std::chrono::seconds(15);
-/// A node that did not answer is not asked for so long. Longer than a process takes to start again.
-constexpr Duration kAvoidSilent = std::chrono::seconds(2);
-/// An even share that was not used is kept for so long: with fewer tokens than one at each node,
-/// one that is used seldom would never have any to stake.
-constexpr double kShareStockSeconds = 1.0;
+/// Idle time after which an account is removed. Its lease is over and its demand has decayed.
+constexpr Duration kIdleTimeout = std::chrono::seconds(15);
+/// How long a node that did not answer is not asked again. Longer than a process takes to restart.
+constexpr Duration kAvoidanceTime = std::chrono::seconds(2);
+/// Extra depth of the even-share bucket, in seconds of its rate. Where the share is less than one
+/// token per node, a bucket that is rarely used would otherwise never have any tokens.
+constexpr double kShareDepthSeconds = 1.0;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
     : pool_(pool), peers_(peers), environment_(environment), settings_(settings) {}
 
 void QuotaAccounts::setMachines(std::string own, std::vector<std::string> hosts) {
-  own_ = std::move(own);
+  own_host_ = std::move(own);
   machines_.clear();
   for (std::string& host : hosts) {
     const std::uint64_t hash = stableHash(host);
@@ -48,32 +48,32 @@
 QuotaVerdict QuotaAccounts::take(const model::Tenant& tenant, QuotaWaiter& waiter) {
   const TimePoint now = environment_.now();
   Account& account = accountOf(tenant, now);
-  count(account, now);
-  if (now < account.lease_end && takeLent(account)) return noted(true);
-  if (now < account.refused_until) return noted(false);
+  countDemand(account, now);
+  if (now < account.lease_end && takeLentToken(account)) return countVerdict(true);
+  if (now < account.refused_until) return countVerdict(false);
   if (account.is_asking) {
     account.waiters.push_back(&waiter);
     return QuotaVerdict::kAsked;
   }
   const std::optional<Owner> owner = ownerFor(tenant.name, now);
-  if (!owner) return noted(passesByShare(account, now));
+  if (!owner) return countVerdict(passesByShare(account, now));
   account.waiters.push_back(&waiter);
-  if (owner->host != own_) {
+  if (owner->host != own_host_) {
     askPeer(tenant.name, account, *owner, now);
     return QuotaVerdict::kAsked;
   }
   borrowFromOwnPool(tenant.name, account, *owner, now);
   account.waiters.pop_back();
-  return noted(takeLent(account));
+  return countVerdict(takeLentToken(account));
 }
 
-bool QuotaAccounts::takeLent(Account& account) {
+bool QuotaAccounts::takeLentToken(Account& account) {
   if (account.lent < 1) return false;
   account.lent -= 1;
   return true;
 }
 
-QuotaVerdict QuotaAccounts::noted(bool may_pass) {
+QuotaVerdict QuotaAccounts::countVerdict(bool may_pass) {
   ++(may_pass ? statistics_.passed : statistics_.refused);
   return may_pass ? QuotaVerdict::kPasses : QuotaVerdict::kRefused;
 }
@@ -100,7 +100,7 @@
 QuotaAccounts::Account& QuotaAccounts::accountOf(const model::Tenant& tenant, TimePoint now) {
   if (now >= next_sweep_) forgetIdle(now);
   Account& account = accounts_.try_emplace(tenant.name, tenant, now).first->second;
-  // Tokens lent under another quota are not used under this one.
+  // Tokens that were lent under an earlier quota must not be used under the new one.
   if (std::exchange(account.quota, tenant.quota) != tenant.quota) account.lent = 0;
   return account;
 }
@@ -108,27 +108,29 @@
 void QuotaAccounts::forgetIdle(TimePoint now) {
   std::erase_if(accounts_, [now](const auto& item) {
     const Account& account = item.second;
-    return account.waiters.empty() && !account.is_asking && now - account.counted_at > kIdleHold;
+    return account.waiters.empty() && !account.is_asking && now - account.counted_at > kIdleTimeout;
   });
-  next_sweep_ = now + kIdleHold;
+  next_sweep_ = now + kIdleTimeout;
 }
 
-/// The decaying count of a steady stream is its rate by this.
-void QuotaAccounts::count(Account& account, TimePoint now) const {
+/// Updates the demand. Each request adds ln 2 / half-life, so that the decaying sum of a steady
+/// stream of requests equals its rate.
+void QuotaAccounts::countDemand(Account& account, TimePoint now) const {
   const double per_request = std::numbers::ln2 / toSeconds(kDemandHalfLife);
   account.demand *= leftAfter(now - account.counted_at, kDemandHalfLife);
   account.demand += per_request;
   account.counted_at = now;
 }
 
-/// Where the share holds less than one token, what there is is staked on a chance of a whole one:
-/// all nodes together pass what their shares add up to.
+/// With less than one token, a request passes with a probability equal to the tokens that are left,
+/// and these are used up either way. So all nodes together pass as many requests as their shares
+/// add up to.
 bool QuotaAccounts::passesByShare(Account& account, TimePoint now) {
   ++statistics_.unowned;
   const auto nodes = static_cast<double>(std::max<std::size_t>(nodes_, 1));
   const double share = settings_.unownedPart() / nodes;
   const double rate = share * rateOf(account.quota);
-  const double depth = share * depthOf(account.quota) + kShareStockSeconds * rate;
+  const double depth = share * depthOf(account.quota) + kShareDepthSeconds * rate;
   account.even_share.fill(rate, depth, now);
   const double tokens = account.even_share.tokens();
   account.even_share.take(std::min(tokens, 1.0));
@@ -137,7 +139,8 @@
 
 // ---- Owners
 
-/// The first machine in the tenant's order, or the second while the first does not answer.
+/// Returns the first machine in the tenant's rendezvous order, or the second while the first does
+/// not answer.
 std::optional<QuotaAccounts::Owner> QuotaAccounts::ownerFor(const TenantName& tenant,
                                                             TimePoint now) const {
   const RankSalt salt = stableHash(tenant.value());
@@ -169,10 +172,10 @@
                                 TimePoint now) const {
   QuotaAsk ask;
   ask.tenant = tenant;
-  ask.asker = own_;
+  ask.asker = own_host_;
   ask.needed = static_cast<double>(account.waiters.size());
   ask.ahead = account.demand * toSeconds(kLeaseTime);
-  // Older tokens are as good as spent: the owner's bucket is most likely full again.
+  // Older tokens are not worth returning: the owner's bucket is most likely full again.
   const bool is_recent = now - account.lease_end < kLeaseTime;
   if (is_recent) ask.returned = std::floor(account.lent);
   ask.is_stand_in = owner.is_stand_in;
@@ -183,7 +186,7 @@
 void QuotaAccounts::borrowFromOwnPool(const TenantName& tenant, Account& account,
                                       const Owner& owner, TimePoint now) {
   ++statistics_.asked;
-  takeIn(account, pool_.lend(account.quota, makeAsk(tenant, account, owner, now), now), now);
+  applyGrant(account, pool_.lend(account.quota, makeAsk(tenant, account, owner, now), now), now);
 }
 
 void QuotaAccounts::askPeer(const TenantName& tenant, Account& account, const Owner& owner,
@@ -198,7 +201,7 @@
              });
 }
 
-void QuotaAccounts::takeIn(Account& account, const QuotaGrant& grant, TimePoint now) {
+void QuotaAccounts::applyGrant(Account& account, const QuotaGrant& grant, TimePoint now) {
   account.lent += grant.tokens;
   account.lease_end = now + kLeaseTime;
   account.refused_until = now + grant.wait;
@@ -208,16 +211,16 @@
   const TimePoint now = environment_.now();
   Account& account = accounts_.at(tenant);
   account.is_asking = false;
-  takeIn(account, grant, now);
-  const bool has_no_more = grant.wait > Duration(0) || grant.tokens < 1;
-  serveWaiters(account, has_no_more);
+  applyGrant(account, grant, now);
+  const bool is_exhausted = grant.wait > Duration(0) || grant.tokens < 1;
+  serveWaiters(account, is_exhausted);
   if (!account.waiters.empty() && !account.is_asking) askForWaiters(tenant, account, now);
 }
 
 void QuotaAccounts::onNoAnswer(const TenantName& tenant, const std::string& host) {
   const TimePoint now = environment_.now();
   ++statistics_.ask_failures;
-  avoided_until_[host] = now + kAvoidSilent;
+  avoided_until_[host] = now + kAvoidanceTime;
   Account& account = accounts_.at(tenant);
   account.is_asking = false;
   if (!account.waiters.empty()) askForWaiters(tenant, account, now);
@@ -225,31 +228,31 @@
 
 void QuotaAccounts::askForWaiters(const TenantName& tenant, Account& account, TimePoint now) {
   const std::optional<Owner> owner = ownerFor(tenant, now);
-  if (owner && owner->host != own_) return askPeer(tenant, account, *owner, now);
+  if (owner && owner->host != own_host_) return askPeer(tenant, account, *owner, now);
   if (owner) {
     borrowFromOwnPool(tenant, account, *owner, now);
     return serveWaiters(account, true);
   }
   for (std::size_t left = account.waiters.size(); left > 0 && !account.waiters.empty(); --left) {
-    tellFirst(account, passesByShare(account, now));
+    notifyFirst(account, passesByShare(account, now));
   }
 }
 
-/// In order, with the tokens at hand. Those without one go on waiting, or are refused when the
-/// owner has no more.
+/// Serves waiters in order while tokens are left. The rest keeps waiting, or is refused if
+/// `refuses_rest` is set.
 void QuotaAccounts::serveWaiters(Account& account, bool refuses_rest) {
   for (std::size_t left = account.waiters.size(); left > 0 && !account.waiters.empty(); --left) {
-    const bool may_pass = takeLent(account);
+    const bool may_pass = takeLentToken(account);
     if (!may_pass && !refuses_rest) return;
-    tellFirst(account, may_pass);
+    notifyFirst(account, may_pass);
   }
 }
 
-/// What the waiter does may make others come or leave.
-void QuotaAccounts::tellFirst(Account& account, bool may_pass) {
+/// The waiter's callback may add or remove other waiters.
+void QuotaAccounts::notifyFirst(Account& account, bool may_pass) {
   QuotaWaiter* const waiter = account.waiters.front();
   account.waiters.pop_front();
-  noted(may_pass);
+  countVerdict(may_pass);
   waiter->onQuota(may_pass);
 }
 
--- a/src/admission/quota_bucket.h
+++ b/src/admission/quota_bucket.h
@@ -6,18 +6,18 @@
 
 namespace coursepond::admission {
 
-/// Tokens that come at a rate and are kept up to a depth. Both may change at any time.
+/// A token bucket. Its rate and its depth may change at any time.
 class QuotaBucket {
  public:
-  /// Starts with so many tokens.
+  /// Starts with `tokens` tokens.
   QuotaBucket(double tokens, TimePoint now) : tokens_(tokens), filled_at_(now) {}
 
-  /// Adds what came since the last call. `rate`: tokens a second.
+  /// Adds the tokens since the last call, up to `depth`. `rate` is in tokens per second.
   void fill(double rate, double depth, TimePoint now) {
     tokens_ = std::min(depth, tokens_ + rate * toSeconds(now - filled_at_));
     filled_at_ = now;
   }
-  /// As of the last call of fill().
+  /// Returns the number of tokens as of the last call of fill().
   double tokens() const { return tokens_; }
   void take(double tokens) { tokens_ -= tokens; }
   void giveBack(double tokens) { tokens_ += tokens; }
--- a/src/admission/quota_pool.cpp
+++ b/src/admission/quota_pool.cpp
@@ -7,42 +7,46 @@
 namespace coursepond::admission {
 namespace {
 
-/// Tokens for requests to come are lent only from what others leave: so many may share it.
+/// A grant lends at most one in this many of the spare tokens for expected requests, so that other
+/// nodes can borrow as well.
 constexpr double kSharers = 4;
-/// A node that did not ask for so long is not counted among those that share a quota.
-constexpr Duration kAskerHold = std::chrono::seconds(2);
-/// What was lent ahead is used evenly over its lease: half of it in half of that time.
+/// A node that has not asked for this long no longer counts as one that shares the quota.
+constexpr Duration kAskerTimeout = std::chrono::seconds(2);
+/// Half-life of the tokens lent ahead. They are assumed to be used evenly over the lease, which
+/// means half of them in half of that time.
 constexpr Duration kLentHalfLife = kLeaseTime / 2;
-/// A bucket is full again and its leases are over long before this.
-constexpr Duration kIdleHold = std::chrono::seconds(15);
-/// Questions a second that an owner takes of the nodes which want more of a tenant than there is.
-/// An estimate, not measured: a question costs about as much as a hop of a request, and a node of a
-/// tenth of a core takes some hundreds of those a second.
+/// Idle time after which a tenant is removed. Its bucket is full and its leases are over long
+/// before that.
+constexpr Duration kIdleTimeout = std::chrono::seconds(15);
+/// Upper bound for the asks per second that an owner receives for one tenant whose quota is
+/// exhausted. An ask costs about as much as one hop of a request, and a node with a tenth of a core
+/// handles some hundreds of these per second.
 constexpr double kAsksPerSecond = 150;
-constexpr Duration kShortestWait = std::chrono::milliseconds(50);
-constexpr Duration kLongestWait = std::chrono::seconds(1);
+constexpr Duration kMinWait = std::chrono::milliseconds(50);
+constexpr Duration kMaxWait = std::chrono::seconds(1);
 
 }  // namespace
 
 QuotaPool::TenantState& QuotaPool::stateOf(const TenantName& tenant, const model::Quota& quota,
                                            TimePoint now) {
   if (now >= next_sweep_) forgetIdle(now);
-  // A new owner does not know what the one before has lent: it begins with the part of the burst
-  // that the two together may lend.
+  // A new owner does not know what the previous owner has lent. It starts with the overshoot
+  // fraction of the bucket, which is what both together may lend beyond the quota.
   return tenants_.try_emplace(tenant, settings_.overshoot * depthOf(quota), now).first->second;
 }
 
 void QuotaPool::forgetIdle(TimePoint now) {
   std::erase_if(tenants_,
-                [now](const auto& item) { return now - item.second.last_asked > kIdleHold; });
-  next_sweep_ = now + kIdleHold;
+                [now](const auto& item) { return now - item.second.last_asked > kIdleTimeout; });
+  next_sweep_ = now + kIdleTimeout;
 }
 
 QuotaGrant QuotaPool::lend(const model::Quota& quota, const QuotaAsk& ask, TimePoint now) {
   TenantState& state = stateOf(ask.tenant, quota, now);
   state.last_asked = now;
   state.asked_at[ask.asker] = now;
-  std::erase_if(state.asked_at, [now](const auto& item) { return now - item.second > kAskerHold; });
+  std::erase_if(state.asked_at,
+                [now](const auto& item) { return now - item.second > kAskerTimeout; });
   const auto askers = static_cast<double>(state.asked_at.size());
   const double nodes = std::max(static_cast<double>(nodes_), askers);
   const double share = ask.is_stand_in ? settings_.unownedPart() * askers / nodes : 1.0;
@@ -66,10 +70,11 @@
   }
   const bool is_short = grant.tokens < std::floor(ask.needed);
   if (!is_short) return grant;
-  // Who is told to wait comes back when there is a token for it, all of them in some order.
+  // The asker waits until the next token is available, and long enough that all askers together
+  // stay within kAsksPerSecond.
   const Duration for_token = inSeconds(std::max(0.0, 1 - bucket.tokens()) / rate);
   const Duration for_turn = inSeconds(askers / kAsksPerSecond);
-  grant.wait = std::clamp(std::max(for_token, for_turn), kShortestWait, kLongestWait);
+  grant.wait = std::clamp(std::max(for_token, for_turn), kMinWait, kMaxWait);
   return grant;
 }
 
--- a/src/admission/quota_pool.h
+++ b/src/admission/quota_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The tokens of the tenants whose quota this node owns, or stands in for the owner of. Holds
-/// something of those tenants only that were asked for lately.
+/// Token buckets of the tenants whose quota this node owns, or for whose owner it stands in. Only
+/// has state for tenants for which other nodes asked recently.
 
 #include <cstdint>
 #include <map>
@@ -18,10 +18,10 @@
   explicit QuotaPool(const QuotaSettings& settings = {}) : settings_(settings) {}
 
   void changeSettings(const QuotaSettings& settings) { settings_ = settings; }
-  /// How many nodes share the quotas.
+  /// Sets the number of nodes that share the quotas.
   void setNodes(std::size_t nodes) { nodes_ = nodes; }
 
-  /// Answers `ask` for a tenant of this quota, which must be limited.
+  /// Answers `ask` for a tenant with this quota, which must be limited.
   QuotaGrant lend(const model::Quota& quota, const QuotaAsk& ask, TimePoint now);
 
   std::size_t tenants() const { return tenants_.size(); }
@@ -31,13 +31,14 @@
     TenantState(double first_tokens, TimePoint now)
         : owned(first_tokens, now), unowned(0, now), last_asked(now), lent_at(now) {}
     QuotaBucket owned;
-    QuotaBucket unowned;                        ///< Lent while this node stands in.
-    std::map<std::string, TimePoint> asked_at;  ///< By asker.
+    QuotaBucket unowned;                        ///< Used while this node stands in for the owner.
+    std::map<std::string, TimePoint> asked_at;  ///< Time of the last ask, by asker.
     TimePoint last_asked;
-    /// Lent for requests to come, and most likely not used yet. What is at the nodes may be used at
-    /// once with what is here: both together are the burst.
+    /// Estimated number of tokens that were lent for expected requests and are not used yet. The
+    /// borrowing nodes may use them at the same time as the tokens in this bucket, so that both
+    /// together must not exceed the burst.
     double lent_ahead = 0;
-    TimePoint lent_at;  ///< When that was so.
+    TimePoint lent_at;  ///< Last update of `lent_ahead`.
   };
 
   TenantState& stateOf(const TenantName& tenant, const model::Quota& quota, TimePoint now);
--- a/src/admission/quota_settings.h
+++ b/src/admission/quota_settings.h
@@ -5,12 +5,13 @@
 namespace coursepond::admission {
 
 struct QuotaSettings {
-  /// By what part of itself all nodes together may exceed a quota, as operators are promised.
+  /// Fraction by which all nodes together may exceed a quota, as promised to operators.
   double overshoot = 0.25;
 
-  /// Of the even shares of nodes that cannot reach the owner, what they may use. The owner may lend
-  /// the whole quota to however few it is left with, and all other nodes be on the other side: what
-  /// these use beside it is within the overshoot whichever side is the smaller.
+  /// Fraction of their even shares that nodes may use while they cannot reach the owner. In a
+  /// network partition the owner may lend the whole quota to the few nodes on its side, with all
+  /// other nodes on the other side. What these use in addition stays within the overshoot,
+  /// whichever side is the smaller one.
   double unownedPart() const { return std::min(1.0, overshoot); }
 };
 
--- a/src/admission/suspect_gossip.h
+++ b/src/admission/suspect_gossip.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Spreads what nodes know of crash suspects: push-pull gossip.
+/// Spreads crash suspects between nodes by push-pull gossip.
 ///
-/// A node with news tells a few others at once, which do the same, and then one more after each of
-/// a few growing pauses. Besides, each node compares a summary of its table with one other now and
-/// then, so that whoever was cut off, suspended or not yet started learns what it missed without
-/// anybody knowing that it did. No node has a part of its own in this, so that losing any of them
-/// loses nothing that it has told.
+/// A node whose table changed sends the changes to a few other nodes at once, which do the same,
+/// and then to one more after each of a few growing pauses. In addition, each node periodically
+/// compares a summary of its table with one other node, so that a node that was partitioned,
+/// suspended or not yet started learns what it missed without anyone having to detect that. No node
+/// has a special role, so a report that was sent survives the loss of its sender.
 
 #include <cstddef>
 #include <functional>
@@ -21,14 +21,14 @@
 namespace coursepond::admission {
 
 struct SuspectMessage {
-  std::uint64_t summary = 0;  ///< Of the sender's table.
+  std::uint64_t summary = 0;  ///< CrashSuspects::summary() of the sender.
   std::vector<SuspectReport> reports;
 };
 
-/// Other nodes, as the gossip needs them.
+/// Sends messages to other nodes.
 class SuspectPeers {
  public:
-  /// With the other node's message; nothing when it did not answer.
+  /// Called with the other node's message, or with nothing if it did not answer.
   using Callback = std::function<void(const std::optional<SuspectMessage>&)>;
   virtual ~SuspectPeers() = default;
   virtual void exchange(const std::string& host, const SuspectMessage& message,
@@ -36,14 +36,16 @@
 };
 
 struct SuspectGossipSettings {
-  /// Between two comparisons when there is no news.
+  /// Pause between two exchanges while nothing changes.
   Duration longest_pause = std::chrono::milliseconds(1500);
-  /// After news; doubles up to the longest.
+  /// Pause after a change. Doubles with each round up to `longest_pause`.
   Duration first_pause = std::chrono::milliseconds(200);
-  /// Nodes that are told news at once. With three, 0.95 of the nodes hear of it in the first wave.
+  /// Number of nodes that a change is sent to at once. With three, 95% of the nodes learn of it in
+  /// the first wave.
   std::size_t fan_out = 3;
-  /// A round that comes this late was held up with the whole process: much may have been missed.
-  Duration held_up = std::chrono::milliseconds(700);
+  /// A round that is late by more than this was delayed by a pause of the whole process, which may
+  /// have missed a lot.
+  Duration pause_threshold = std::chrono::milliseconds(700);
 };
 
 /// Counters for /metrics. Never reset.
@@ -54,29 +56,29 @@
 
 class SuspectGossip {
  public:
-  /// All must outlive the gossip; `suspects` has no other change handler.
+  /// All arguments must outlive the gossip. Installs itself as the change callback of `suspects`.
   SuspectGossip(CrashSuspects& suspects, SuspectPeers& peers, Environment& environment,
                 const SuspectGossipSettings& settings = {});
   ~SuspectGossip();
   SuspectGossip(const SuspectGossip&) = delete;
   SuspectGossip& operator=(const SuspectGossip&) = delete;
 
-  /// From the next round on.
+  /// Takes effect from the next round on.
   void changeSettings(const SuspectGossipSettings& settings) { settings_ = settings; }
-  /// The other nodes, by IP number: those of the own zone apart, since others cost more to reach.
-  /// The first call with any begins the rounds.
+  /// Sets the IP addresses of the other nodes. Those of this node's zone are separate, because the
+  /// others cost more to reach. The first call with any peer starts the rounds.
   void setPeers(std::vector<std::string> own_zone, std::vector<std::string> others);
-  /// Another node's message; returns the answer to it.
+  /// Called with a message from another node. Returns the reply.
   SuspectMessage onMessage(const SuspectMessage& message);
   const SuspectGossipStatistics& statistics() const { return statistics_; }
 
  private:
-  void onNews();
-  std::vector<SuspectReport> answerTo(const SuspectMessage& message);
+  void onSuspectsChanged();
+  std::vector<SuspectReport> mergeAndReply(const SuspectMessage& message);
   void schedule(Duration pause);
-  void round();
-  std::vector<std::string> draw(std::size_t count) const;
-  const std::string& drawOne() const;
+  void runRound();
+  std::vector<std::string> pickPeers(std::size_t count) const;
+  const std::string& pickPeer() const;
   void exchange(const std::string& host, const SuspectMessage& message, bool may_answer);
   void onReply(const std::string& host, const std::optional<SuspectMessage>& reply,
                bool may_answer);
@@ -91,9 +93,9 @@
   TimePoint due_;
   TimePoint last_round_;
   TimerId timer_ = 0;
-  bool has_news_ = false;
+  bool has_changes_ = false;
   SuspectGossipStatistics statistics_;
-  /// Exchanges may be answered after the end of this.
+  /// Callbacks hold a weak reference, since replies may arrive after the gossip is destroyed.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
 };
 
--- a/src/admission/tenant_table.h
+++ b/src/admission/tenant_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Finds whose a request is: by the digest of its API key, or by the tenant's name where another
-/// node has told it already.
+/// Finds the tenant of a request by the digest of its API key, or by the tenant's name if another
+/// node has already determined it.
 
 #include <span>
 #include <string_view>
@@ -19,9 +19,9 @@
 
   /// Without tenants, requests need no API key.
   bool empty() const { return by_name_.empty(); }
-  /// Null when no tenant holds the key.
+  /// Returns null if no tenant has this key.
   const model::Tenant* findByKey(const Digest& key_digest) const;
-  /// Null when there is none of this name.
+  /// Returns null if there is no tenant with this name.
   const model::Tenant* findByName(std::string_view name) const;
 
  private:
--- a/tests/admission/crash_suspects_test.cpp
+++ b/tests/admission/crash_suspects_test.cpp
@@ -20,18 +20,19 @@
   suspects.onServerEnd(end, requests, now);
 }
 
-/// What `from` tells a node that told it what it suspects. Returns whether any of it was news.
-bool tell(const CrashSuspects& from, CrashSuspects& to, TimePoint now = kStart) {
-  std::vector<SuspectReport> told = from.reports(now, 1000);
-  for (const SuspectReport& later : from.laterThan(to.reports(now, 1000), now)) {
-    told.push_back(later);
+/// Sends the reports of `from` to `to`, as in an exchange of messages. Returns whether any of them
+/// changed the table of `to`.
+bool sendReports(const CrashSuspects& from, CrashSuspects& to, TimePoint now = kStart) {
+  std::vector<SuspectReport> reports = from.reports(now, 1000);
+  for (const SuspectReport& later : from.laterRounds(to.reports(now, 1000), now)) {
+    reports.push_back(later);
   }
-  return to.merge(told, now);
+  return to.merge(reports, now);
 }
 
 }  // namespace
 
-TEST_CASE("one end holds nothing back; the second one lets trials through only") {
+TEST_CASE("one server end does not restrict a request; after the second it only runs as a trial") {
   CrashSuspects suspects;
   endServer(suspects, 1, {kGuilty, kInnocent});
   CHECK(suspects.verdict(kGuilty, kStart) == CrashVerdict::kMayRun);
@@ -41,18 +42,18 @@
   CHECK(suspects.statistics().server_ends == 2);
 }
 
-TEST_CASE("the same end told again, by whoever, counts once") {
+TEST_CASE("repeated reports of the same server end, also by other nodes, count once") {
   CrashSuspects suspects;
   endServer(suspects, 1, {kGuilty});
   endServer(suspects, 1, {kGuilty});
   CHECK(suspects.ends(kGuilty) == 1);
   CrashSuspects other;
   endServer(other, 1, {kGuilty});
-  CHECK_FALSE(suspects.merge(other.news(TimePoint(), kStart, 10), kStart));
+  CHECK_FALSE(suspects.merge(other.changesSince(TimePoint(), kStart, 10), kStart));
   CHECK(suspects.ends(kGuilty) == 1);
 }
 
-TEST_CASE("two trials without an answer, ten seconds apart, and then no more") {
+TEST_CASE("at most two trials without an answer are allowed, ten seconds apart") {
   CrashSuspects suspects;
   endServer(suspects, 1, {kGuilty});
   endServer(suspects, 2, {kGuilty});
@@ -68,7 +69,7 @@
 }
 
 TEST_CASE(
-    "many servers that go at once leave a popular request its trial, and an answer clears it") {
+    "a popular request gets a trial after many servers ended at once, and an answer clears it") {
   CrashSuspects suspects;
   for (ServerEndId end = 1; end <= 40; ++end) endServer(suspects, end, {kInnocent});
   CHECK(suspects.verdict(kInnocent, kStart) == CrashVerdict::kTrialOnly);
@@ -77,24 +78,24 @@
   CHECK(suspects.statistics().cleared == 1);
 }
 
-TEST_CASE("an answer at one node clears the request at all, also where more ends were known") {
+TEST_CASE("an answer on one node clears the request on nodes that know of more server ends") {
   CrashSuspects near;
   CrashSuspects far;
   endServer(near, 1, {kInnocent});
   endServer(near, 2, {kInnocent});
-  tell(near, far);
+  sendReports(near, far);
   endServer(far, 3, {kInnocent});
   near.onAnswered(kInnocent, kStart);
-  CHECK(tell(near, far));
+  CHECK(sendReports(near, far));
   CHECK(far.verdict(kInnocent, kStart) == CrashVerdict::kMayRun);
-  // What is told late of the round before changes nothing.
+  // A late report of the previous round changes nothing.
   CrashSuspects late;
   endServer(late, 4, {kInnocent});
   endServer(late, 5, {kInnocent});
-  CHECK_FALSE(tell(late, far));
+  CHECK_FALSE(sendReports(late, far));
 }
 
-TEST_CASE("nodes that were told in any order hold the same, and their summaries are equal") {
+TEST_CASE("nodes that merge reports in any order converge, and their summaries are equal") {
   CrashSuspects first;
   CrashSuspects second;
   for (ServerEndId end = 1; end <= 9; ++end) {
@@ -102,22 +103,23 @@
   }
   second.onTrialFailed(kGuilty, 5, kStart);
   CHECK(first.summary() != second.summary());
-  // One that has a single end at the first node is told back by the second.
-  tell(first, second);
-  tell(second, first);
-  tell(first, second);
+  // A request with a single end on the first node is not a suspect there yet. The second node
+  // reports it back.
+  sendReports(first, second);
+  sendReports(second, first);
+  sendReports(first, second);
   CHECK(first.summary() == second.summary());
   CHECK(first.reports(kStart, 10) == second.reports(kStart, 10));
 }
 
-TEST_CASE("a flood of different requests is bounded, and forgets what few servers ended under") {
+TEST_CASE("a flood of different requests is bounded and evicts those with the fewest ends") {
   CrashSuspectSettings settings;
-  settings.most_records = 800;
+  settings.max_records = 800;
   CrashSuspects suspects(settings);
   endServer(suspects, 1, {kGuilty});
   endServer(suspects, 2, {kGuilty});
   for (std::uint64_t number = 0; number < 10'000; ++number) {
-    // All at the same moment, as when one message brings them.
+    // All at the same time, as when they arrive in one message.
     endServer(suspects, 10 + number, {RequestFingerprint(1000 + number)});
     CHECK(suspects.size() <= 800);
   }
@@ -125,26 +127,27 @@
   CHECK(suspects.statistics().forgotten > 9000);
 }
 
-TEST_CASE("a suspect is remembered for an hour, and told with its age") {
+TEST_CASE("a suspect is kept for an hour, and its age is reported to other nodes") {
   CrashSuspects suspects;
   endServer(suspects, 1, {kGuilty});
   endServer(suspects, 2, {kGuilty});
   CrashSuspects late;
-  tell(suspects, late, kStart + minutes(59));
+  sendReports(suspects, late, kStart + minutes(59));
   CHECK(late.ends(kGuilty) == 2);
-  CHECK_FALSE(tell(suspects, late, kStart + minutes(61)));
-  late.forgetOld(kStart + minutes(61));
+  CHECK_FALSE(sendReports(suspects, late, kStart + minutes(61)));
+  late.removeExpired(kStart + minutes(61));
   CHECK(late.size() == 0);
 }
 
-TEST_CASE("who listens hears when a request comes under suspicion and when it is cleared") {
+TEST_CASE(
+    "the verdict listener is called when a request becomes a suspect and when it is cleared") {
   CrashSuspects suspects;
-  std::vector<std::size_t> heard;
-  suspects.onVerdict([&](RequestFingerprint, std::size_t ends) { heard.push_back(ends); });
+  std::vector<std::size_t> reported_ends;
+  suspects.onVerdict([&](RequestFingerprint, std::size_t ends) { reported_ends.push_back(ends); });
   endServer(suspects, 1, {kInnocent});
   endServer(suspects, 2, {kInnocent});
   suspects.onAnswered(kInnocent, kStart);
-  CHECK(heard == std::vector<std::size_t>{2, 0});
+  CHECK(reported_ends == std::vector<std::size_t>{2, 0});
 }
 
 }  // namespace coursepond::admission
--- a/tests/admission/quota_fleet_test.cpp
+++ b/tests/admission/quota_fleet_test.cpp
@@ -1,6 +1,6 @@
-/// A fleet of nodes that share the quotas of tenants, in virtual time: what passes in the worst
-/// span of five seconds, which must stay within a quarter more than the quota and 20 requests, and
-/// how much of what the quota allows is refused.
+/// A fleet of nodes that share the quotas of tenants, in virtual time. Checks that the requests
+/// that pass in any five seconds stay within the quota plus a quarter and 20 requests, and how many
+/// requests within the quota are refused.
 
 #include <doctest/doctest.h>
 
@@ -23,7 +23,7 @@
 constexpr Duration kHop = milliseconds(2);
 constexpr Duration kAskTimeout = milliseconds(200);
 constexpr Duration kWindow = seconds(5);
-/// What passes in a window beyond the quota is allowed to this.
+/// Factor and number of requests by which a window may exceed the quota.
 constexpr double kOvershoot = 1.25;
 constexpr double kSlack = 20;
 
@@ -39,7 +39,7 @@
   std::size_t own_;
 };
 
-/// One request; counts itself when it passes.
+/// One request, which adds itself to the fleet's counters.
 struct Request final : QuotaWaiter {
   explicit Request(Fleet& owner) : fleet(owner) {}
   void onQuota(bool may_pass) override;
@@ -48,10 +48,10 @@
 
 class Fleet {
  public:
-  /// `knows_owners`: otherwise nobody lends, and each node keeps to its even share.
+  /// Without `knows_owners` no node lends tokens, and each node uses its even share.
   Fleet(std::size_t nodes, const model::Tenant& tenant, bool knows_owners = true)
       : tenant_(tenant) {
-    // Even shares that all of the quota is divided into, not only the part beside an owner.
+    // Without owners, the even shares add up to the whole quota instead of the overshoot.
     const QuotaSettings settings{.overshoot = knows_owners ? QuotaSettings().overshoot : 1.0};
     std::vector<std::string> hosts;
     for (std::size_t index = 0; index < nodes; ++index) hosts.push_back(hostOf(index));
@@ -66,8 +66,8 @@
 
   static std::string hostOf(std::size_t index) { return "10.0.0." + std::to_string(index + 1); }
 
-  /// `per_second` requests of the tenant at random times and at random nodes below `nodes`.
-  void play(Duration length, double per_second, std::size_t nodes) {
+  /// Sends `per_second` requests of the tenant at random times to random nodes below `nodes`.
+  void sendLoad(Duration length, double per_second, std::size_t nodes) {
     const TimePoint end = environment.now() + length;
     constexpr std::uint64_t kDraws = 1'000'000;
     for (;;) {
@@ -95,7 +95,7 @@
     worst = std::max(worst, passed.size());
   }
 
-  /// Within what the quota allows in any window.
+  /// Returns whether the worst window stayed within the quota and its overshoot.
   bool isWithinQuota() const {
     const double quota = rateOf(tenant_.quota) * std::chrono::duration<double>(kWindow).count() +
                          tenant_.quota.burst;
@@ -135,7 +135,7 @@
     });
   }
 
-  /// The process starts anew: what its pool and its accounts held is gone.
+  /// Restarts the node's process, which loses the state of its pool.
   void restart(std::size_t index) { nodes_[index]->pool = QuotaPool(); }
 
   VirtualEnvironment environment;
@@ -144,7 +144,7 @@
   std::size_t sent = 0;
   std::size_t refused = 0;
   std::size_t asks = 0;
-  std::size_t worst = 0;  ///< Passed in the worst window.
+  std::size_t worst = 0;  ///< Requests that passed in the worst window.
   std::size_t passed_count = 0;
   std::deque<TimePoint> passed;
 
@@ -181,112 +181,112 @@
 }
 
 constexpr std::size_t kNodes = 63;
-/// Of what a quota allows with room to spare, refused at most.
-constexpr double kHardly = 0.01;
+/// Maximum fraction of refused requests for a load well within the quota.
+constexpr double kMaxRefusedShare = 0.01;
 
 }  // namespace
 
-TEST_CASE("a small tenant with room in its quota is hardly refused, by even shares it is") {
+TEST_CASE("lending hardly refuses a small tenant within its quota, unlike even shares") {
   Fleet lending(kNodes, makeTenant(8, 8));
-  lending.play(seconds(60), 5, kNodes);
-  CHECK(lending.refusedShare() < kHardly);
+  lending.sendLoad(seconds(60), 5, kNodes);
+  CHECK(lending.refusedShare() < kMaxRefusedShare);
   CHECK(lending.isWithinQuota());
   Fleet even(kNodes, makeTenant(8, 8), false);
-  even.play(seconds(60), 5, kNodes);
-  CHECK(even.refusedShare() > 10 * kHardly);
+  even.sendLoad(seconds(60), 5, kNodes);
+  CHECK(even.refusedShare() > 10 * kMaxRefusedShare);
 }
 
-TEST_CASE("a large tenant with room in its quota is hardly refused, nor is one through one zone") {
+TEST_CASE("a large tenant within its quota is hardly refused, even through one zone only") {
   for (const std::size_t nodes : {kNodes, kNodes / 3}) {
     CAPTURE(nodes);
     Fleet fleet(kNodes, makeTenant(258, 258));
-    fleet.play(seconds(30), 161, nodes);
-    CHECK(fleet.refusedShare() < kHardly);
+    fleet.sendLoad(seconds(30), 161, nodes);
+    CHECK(fleet.refusedShare() < kMaxRefusedShare);
     Fleet even(kNodes, makeTenant(258, 258), false);
-    even.play(seconds(30), 161, nodes);
+    even.sendLoad(seconds(30), 161, nodes);
   }
 }
 
-TEST_CASE("a tenant that sends many times its quota gets its quota, not more and not much less") {
+TEST_CASE("a tenant that sends many times its quota gets its quota and not much less") {
   for (const double rate : {8.0, 258.0}) {
     CAPTURE(rate);
     const auto burst = static_cast<std::uint32_t>(rate);
     Fleet fleet(kNodes, makeTenant(rate, burst));
-    fleet.play(seconds(10), 0.6 * rate, kNodes);
-    fleet.play(seconds(20), 5 * rate, kNodes);
+    fleet.sendLoad(seconds(10), 0.6 * rate, kNodes);
+    fleet.sendLoad(seconds(20), 5 * rate, kNodes);
     CHECK(fleet.isWithinQuota());
     fleet.forgetCounts();
-    fleet.play(seconds(20), 5 * rate, kNodes);
+    fleet.sendLoad(seconds(20), 5 * rate, kNodes);
     CHECK(static_cast<double>(fleet.passed_count) > 0.9 * 20 * rate);
   }
 }
 
-TEST_CASE(
-    "when a tenant's owner dies, is back or starts anew, the quota holds and service goes on") {
+TEST_CASE("the quota is enforced and requests pass while the owner is dead and after it restarts") {
   Fleet fleet(kNodes, makeTenant(258, 258));
-  fleet.play(seconds(10), 161, kNodes);
+  fleet.sendLoad(seconds(10), 161, kNodes);
   fleet.dead.insert(fleet.owner());
   fleet.forgetCounts();
-  fleet.play(seconds(6), 161, kNodes);
-  // As much as may pass beside an owner that is only cut off.
+  fleet.sendLoad(seconds(6), 161, kNodes);
+  // The amount that may pass if the owner is only partitioned and still lends.
   const double unowned = QuotaSettings().overshoot * 258 * 6;
   CHECK(static_cast<double>(fleet.passed_count) > 0.9 * unowned);
   fleet.restart(fleet.owner());
   fleet.dead.clear();
-  fleet.play(seconds(10), 1200, kNodes);
+  fleet.sendLoad(seconds(10), 1200, kNodes);
   CHECK(fleet.isWithinQuota());
 }
 
-TEST_CASE("a fleet that is cut stays within the quota on both sides together") {
+TEST_CASE("both sides of a network partition together stay within the quota") {
   for (const std::size_t cut : {std::size_t{1}, kNodes / 3, kNodes / 2, 2 * kNodes / 3}) {
     for (const double rate : {8.0, 258.0}) {
       CAPTURE(cut);
       CAPTURE(rate);
       Fleet fleet(kNodes, makeTenant(rate, static_cast<std::uint32_t>(rate)));
-      fleet.play(seconds(10), 4 * rate, kNodes);
+      fleet.sendLoad(seconds(10), 4 * rate, kNodes);
       fleet.cut_below = cut;
-      fleet.play(seconds(10), 4 * rate, kNodes);
+      fleet.sendLoad(seconds(10), 4 * rate, kNodes);
       fleet.cut_below = 0;
-      fleet.play(seconds(10), 4 * rate, kNodes);
+      fleet.sendLoad(seconds(10), 4 * rate, kNodes);
       CHECK(fleet.isWithinQuota());
     }
   }
 }
 
-// A zone was cut off in the second in which a tenant with a full bucket began to send six times its
-// usual load: what had been lent ahead came on top of the burst, and 3,496 requests passed in five
-// seconds where 3,470 were allowed (lower-quota-in-burst, seed 7308, at 63 machines).
-TEST_CASE("a full bucket, tokens lent ahead and a cut at once stay within the quota") {
+// Guards against tokens that were lent ahead being added to the burst. When a zone is partitioned
+// just as a tenant with a full bucket starts to send six times its usual load, both sides could
+// otherwise exceed the quota: 3,496 requests in five seconds where 3,470 were allowed
+// (lower-quota-in-burst, seed 7308, with 63 machines).
+TEST_CASE("a full bucket, tokens lent ahead and a network partition stay within the quota") {
   for (const std::size_t cut : {kNodes / 3, kNodes / 2, 2 * kNodes / 3}) {
     for (const std::uint32_t burst : {0U, 460U}) {
       CAPTURE(cut);
       CAPTURE(burst);
       Fleet fleet(kNodes, makeTenant(460, burst));
-      fleet.play(seconds(10), 290, kNodes);
+      fleet.sendLoad(seconds(10), 290, kNodes);
       fleet.cut_below = cut;
-      fleet.play(seconds(10), 1740, kNodes);
+      fleet.sendLoad(seconds(10), 1740, kNodes);
       CAPTURE(fleet.worst);
       CHECK(fleet.isWithinQuota());
     }
   }
 }
 
-TEST_CASE("a lower quota binds one window after the nodes hold it") {
+TEST_CASE("a lowered quota is enforced one lease time after the nodes have it") {
   Fleet fleet(kNodes, makeTenant(258, 258));
-  fleet.play(seconds(10), 161, kNodes);
+  fleet.sendLoad(seconds(10), 161, kNodes);
   fleet.changeQuota(makeTenant(40, 40).quota);
-  fleet.play(kLeaseTime, 161, kNodes);
+  fleet.sendLoad(kLeaseTime, 161, kNodes);
   fleet.forgetCounts();
-  fleet.play(seconds(20), 161, kNodes);
+  fleet.sendLoad(seconds(20), 161, kNodes);
   CHECK(fleet.isWithinQuota());
 }
 
-TEST_CASE("an owner takes no more questions for a tenant that wants more, with twice the nodes") {
+TEST_CASE("with twice the nodes, the owner of an exhausted quota hardly receives more asks") {
   const auto asksPerSecond = [](std::size_t nodes) {
     Fleet fleet(nodes, makeTenant(258, 258));
-    fleet.play(seconds(5), 1200, nodes);
+    fleet.sendLoad(seconds(5), 1200, nodes);
     fleet.asks = 0;
-    fleet.play(seconds(10), 1200, nodes);
+    fleet.sendLoad(seconds(10), 1200, nodes);
     return fleet.asks / 10;
   };
   const std::size_t at_63 = asksPerSecond(kNodes);
--- a/tests/admission/suspect_gossip_test.cpp
+++ b/tests/admission/suspect_gossip_test.cpp
@@ -13,28 +13,28 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Nodes are to know of a third end within this.
-constexpr Duration kSettled = seconds(5);
+/// Time within which all nodes must know of a third server end.
+constexpr Duration kConvergenceTime = seconds(5);
 const RequestFingerprint kGuilty(77);
 
-/// Nodes in virtual time that tell each other what they know.
+/// Nodes that gossip with each other in virtual time.
 class GossipMesh {
  public:
   GossipMesh(std::size_t size, std::size_t zones) : zones_(zones) {
     for (std::size_t index = 0; index < size; ++index) {
       nodes_.push_back(std::make_unique<Node>(*this));
     }
-    settings.longest_pause = kSettled / 2;
+    settings.longest_pause = kConvergenceTime / 2;
     for (std::size_t index = 0; index < size; ++index) begin(index);
   }
 
-  /// It ends, with all that it knew, and starts anew.
+  /// Restarts the node, which loses its table.
   void restart(std::size_t index) {
     nodes_[index] = std::make_unique<Node>(*this);
     begin(index);
   }
 
-  /// One server beside each of these nodes ends under the request.
+  /// The server of each of these nodes ends while it runs the request.
   void endServers(std::initializer_list<std::size_t> indexes) {
     for (const std::size_t index : indexes) {
       nodes_[index]->suspects.onServerEnd(++last_end_, std::vector{kGuilty}, environment.now());
@@ -42,7 +42,8 @@
   }
   void run(Duration span) { environment.advance(span); }
 
-  std::size_t knowing(std::size_t ends) const {
+  /// Returns the number of nodes that know of at least `ends` server ends.
+  std::size_t nodesWithEnds(std::size_t ends) const {
     return static_cast<std::size_t>(
         std::count_if(nodes_.begin(), nodes_.end(), [ends](const std::unique_ptr<Node>& node) {
           return node->suspects.ends(kGuilty) >= ends;
@@ -52,7 +53,7 @@
 
   proxy::VirtualEnvironment environment;
   SuspectGossipSettings settings;
-  /// Nodes that nothing reaches or leaves.
+  /// Nodes whose messages are lost in both directions.
   std::vector<bool> is_cut = std::vector<bool>(1000);
   std::size_t messages = 0;
   std::size_t reports = 0;
@@ -98,7 +99,7 @@
     });
   }
 
-  /// Of a node whose tenth of a core is used up, on the average.
+  /// Average delay at a node that has used up its tenth of a core.
   static constexpr Duration kDelay = milliseconds(50);
 
   std::size_t zones_;
@@ -108,19 +109,19 @@
 
 }  // namespace
 
-TEST_CASE("of 984 nodes all know of three ends well before they have to, for few messages each") {
+TEST_CASE("all of 984 nodes learn of three server ends in time, with few messages per node") {
   GossipMesh mesh(984, 6);
   mesh.run(seconds(6));
   const std::size_t before = mesh.messages;
   mesh.endServers({5, 300, 700});
-  mesh.run(kSettled / 2);
-  CHECK(mesh.knowing(3) == 984);
+  mesh.run(kConvergenceTime / 2);
+  CHECK(mesh.nodesWithEnds(3) == 984);
   const double each = static_cast<double>(mesh.messages - before) / 984;
   MESSAGE("messages of each node in 2.5 s: " << each);
   CHECK(each < 20);
 }
 
-TEST_CASE("without news, each node compares once in a pause, and tells nothing") {
+TEST_CASE("without changes, each node exchanges one summary per pause and sends no reports") {
   GossipMesh mesh(120, 3);
   mesh.run(seconds(20));
   const std::size_t before = mesh.messages;
@@ -131,20 +132,20 @@
   CHECK(mesh.reports == reports);
 }
 
-TEST_CASE("nodes that were cut off, or started anew, know soon after they are back") {
+TEST_CASE("nodes that were partitioned or restarted catch up soon after they are back") {
   GossipMesh mesh(60, 3);
   mesh.run(seconds(6));
   for (std::size_t index = 0; index < 20; ++index) mesh.is_cut[index] = true;
   mesh.endServers({30, 40, 50});
   mesh.run(seconds(30));
-  CHECK(mesh.knowing(3) == 40);
+  CHECK(mesh.nodesWithEnds(3) == 40);
   for (std::size_t index = 0; index < 20; ++index) mesh.is_cut[index] = false;
   for (std::size_t index = 40; index < 50; ++index) mesh.restart(index);
-  mesh.run(kSettled);
-  CHECK(mesh.knowing(3) == 60);
+  mesh.run(kConvergenceTime);
+  CHECK(mesh.nodesWithEnds(3) == 60);
 }
 
-TEST_CASE("a node that stood still asks at once, whatever its clock said meanwhile") {
+TEST_CASE("a node whose process was paused exchanges at once when it resumes") {
   GossipMesh mesh(40, 2);
   mesh.run(seconds(6));
   mesh.is_cut[7] = true;
@@ -153,20 +154,20 @@
   mesh.environment.pause(seconds(3));
   mesh.is_cut[7] = false;
   mesh.run(milliseconds(400));
-  CHECK(mesh.knowing(3) == 40);
+  CHECK(mesh.nodesWithEnds(3) == 40);
 }
 
-TEST_CASE("what the nodes that saw the ends told outlives them") {
+TEST_CASE("reports survive the restart of the nodes that sent them") {
   GossipMesh mesh(30, 3);
   mesh.run(seconds(6));
   mesh.endServers({1, 2, 3});
   mesh.run(milliseconds(300));
   for (const std::size_t index : {1, 2, 3}) mesh.restart(index);
-  mesh.run(kSettled);
-  CHECK(mesh.knowing(3) == 30);
+  mesh.run(kConvergenceTime);
+  CHECK(mesh.nodesWithEnds(3) == 30);
 }
 
-TEST_CASE("an answer clears the request at all nodes, those that were cut off included") {
+TEST_CASE("an answer clears the request on all nodes, including those that were partitioned") {
   GossipMesh mesh(60, 3);
   mesh.run(seconds(6));
   mesh.endServers({30, 40, 50});
@@ -174,10 +175,10 @@
   mesh.is_cut[9] = true;
   mesh.suspects(20).onAnswered(kGuilty, mesh.environment.now());
   mesh.run(seconds(5));
-  CHECK(mesh.knowing(1) == 1);
+  CHECK(mesh.nodesWithEnds(1) == 1);
   mesh.is_cut[9] = false;
-  mesh.run(kSettled);
-  CHECK(mesh.knowing(1) == 0);
+  mesh.run(kConvergenceTime);
+  CHECK(mesh.nodesWithEnds(1) == 0);
 }
 
 }  // namespace coursepond::admission
--- a/tests/admission/tenant_table_test.cpp
+++ b/tests/admission/tenant_table_test.cpp
@@ -25,7 +25,7 @@
   CHECK(table.findByName("none") == &tenants[2]);
 }
 
-TEST_CASE("an unknown key, a part of one, no key and the empty digest find nobody") {
+TEST_CASE("an unknown key, a prefix of a key, an empty key and an empty digest find no tenant") {
   const std::vector<model::Tenant> tenants = {makeTenant("farm", {"k1"})};
   const TenantTable table(tenants);
   for (const char* key : {"", "k", "k11", "K1"}) CHECK(table.findByKey(Digest::of(key)) == nullptr);
