--- a/src/proxy/admission_queue.h
+++ b/src/proxy/admission_queue.h
@@ -19,9 +19,9 @@
   Waiter(const Waiter&) = delete;
   Waiter& operator=(const Waiter&) = delete;
 
-  /// A slot on `server` is taken for this request, which must release it.
+  /// Called when a slot on `server` was taken for this request, which must release it.
   virtual void onServerAssigned(const ServerPointer& server, TimePoint now) = 0;
-  /// No longer waiting and without a slot.
+  /// Called when the request was removed from the queue without getting a slot.
   virtual void onWaitEnded(Reason reason, TimePoint now) = 0;
 
   model::Priority priority() const { return priority_; }
@@ -40,38 +40,38 @@
 struct QueueEntry {
   bool admitted = false;
   Reason refusal = Reason::kQueueFull;  ///< When not admitted.
-  Waiter* displaced = nullptr;          ///< A batch request that has to make room, already removed.
+  Waiter* displaced = nullptr;  ///< A batch request that was removed from the queue to make room.
 };
 
-/// The bounded queue of one service on one node: first in, first out within interactive and batch
-/// requests. Batch requests may fill only a part of it and make room for interactive ones; with
-/// both waiting, one batch request goes after every `interactive_weight` interactive ones, so that
-/// batch is slowed and never starves. Everything is O(1) and allocates nothing.
+/// The bounded queue of one service on one node: first in, first out within each priority. Batch
+/// requests may only fill a part of it and are displaced by interactive requests. While both are
+/// waiting, one batch request is served after every `interactive_weight` interactive ones, so that
+/// batch requests are slowed down but never starve. All operations are O(1) and do not allocate.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(const AdmissionSettings& settings) : settings_(settings) {}
 
   void setLimit(std::size_t limit) { limit_ = limit; }
 
-  /// Appends the waiter unless there is no room for it.
+  /// Appends the waiter if there is room for it.
   QueueEntry enter(Waiter& waiter);
-  /// Puts a request that was admitted before back at the front, over the limit if need be.
+  /// Puts a request that was admitted before at the front of the queue, even if the queue is full.
   void reenter(Waiter& waiter);
-  /// Removes the waiter, wherever it stands. Does nothing when it doesn't wait.
+  /// Removes the waiter from any position. Does nothing if it is not in the queue.
   void leave(Waiter& waiter);
 
-  /// Which kind goes next; only meaningful when not empty.
+  /// Returns the priority to serve next. Only meaningful if the queue is not empty.
   model::Priority nextPriority() const;
-  /// The first waiter of a kind, or null.
+  /// Returns the first waiter of a priority, or null.
   Waiter* front(model::Priority priority);
-  /// Removes the first waiter of a kind as one that is served.
+  /// Removes the first waiter of a priority and counts it as served.
   void serveFront(model::Priority priority);
 
   bool empty() const { return interactive_.empty() && batch_.empty(); }
   std::size_t size() const { return interactive_.size() + batch_.size(); }
   std::size_t size(model::Priority priority) const { return list(priority).size(); }
 
-  /// How many requests go before one that joins now.
+  /// Returns the number of requests that would be served before one that joins now.
   double expectedAhead(model::Priority priority) const;
 
  private:
--- a/src/proxy/answer_check.h
+++ b/src/proxy/answer_check.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Whether an answer may be taken for the answer to a request.
+/// Checks that an answer belongs to a request.
 
 #include <string_view>
 
@@ -10,8 +10,8 @@
 
 inline bool isSuccess(int status) { return status >= 200 && status < 300; }
 
-/// It carries the request's own id; a success is the server's own bytes and, where servers sign,
-/// signed.
+/// Returns whether the answer carries the request's id and, if it is a success, is not re-encoded
+/// and is signed where servers sign their answers.
 inline bool isProperAnswer(const AnswerHead& answer, std::string_view request_id,
                            bool expects_signature) {
   if (answer.request_id != request_id) return false;
--- a/src/proxy/balancer.cpp
+++ b/src/proxy/balancer.cpp
@@ -5,7 +5,7 @@
 namespace coursepond::proxy {
 namespace {
 
-/// How much a failure rate of 1 adds to a server's cost.
+/// Weight of the failure rate: a server that always fails costs 1 + kFailureCost times as much.
 constexpr double kFailureCost = 4.0;
 
 bool wasTried(const ServerState& server, const PickRequest& request) {
@@ -39,7 +39,7 @@
 }
 
 bool Balancer::hasRoom(const ServerState& server, const PickRequest& request, TimePoint now) const {
-  if (server.held(now)) return false;
+  if (server.isBackingOff(now)) return false;
   const std::uint32_t room =
       std::min(server.limit.value(), server.connections.value(request.connection_share, now));
   if (server.in_flight >= room) return false;
@@ -52,13 +52,14 @@
                                 const PickRequest& request, TimePoint now) const {
   const double left_cost = cost(*left, request.average_latency_ms, now);
   const double right_cost = cost(*right, request.average_latency_ms, now);
-  // Nearly equal: the first, which was chosen at random. Otherwise a quiet service would leave a
-  // server out for good over the last percent of its latency.
+  // If the costs are nearly equal, prefer the first server, which was chosen at random. Otherwise a
+  // service with little traffic would never use a server that is only slightly slower.
   return left_cost <= right_cost * (1 + settings_.cost_tolerance) ? left : right;
 }
 
-/// The slow way, for when one of two random servers has no room: two eligible servers from a
-/// random start, else one that was tried before, else (all are ejected) any with room.
+/// Fallback for when one of the two random servers is not eligible. Scans from a random start and
+/// picks the cheaper of the first two eligible servers, or else one that was tried before, or, if
+/// all servers are ejected, any with room.
 ServerPointer Balancer::pickByScan(const std::vector<ServerPointer>& usable,
                                    const PickRequest& request, TimePoint now) const {
   const std::size_t count = usable.size();
--- a/src/proxy/balancer.h
+++ b/src/proxy/balancer.h
@@ -9,20 +9,21 @@
 
 namespace coursepond::proxy {
 
-/// The servers a request was on already, as far as they are remembered. Only compared.
+/// The servers that a request was sent to before. The pointers are only compared, never used.
 using TriedServers = boost::container::small_vector<const ServerState*, 4>;
 
-/// What a choice depends on besides the servers.
+/// The properties of a request that the choice of a server depends on.
 struct PickRequest {
   model::Priority priority = model::Priority::kInteractive;
   const TriedServers* tried = nullptr;  ///< Avoided while another server has room; may be null.
-  std::uint32_t connection_share = 1;   ///< This node's even part of a server's connections.
-  double average_latency_ms = 1;        ///< Of the service, for servers without samples.
+  std::uint32_t connection_share = 1;   ///< This node's even share of a server's connections.
+  double average_latency_ms = 1;        ///< Average of the service, for servers without samples.
 };
 
-/// Chooses a server by the power of two choices: two at random, the cheaper of them. The cost is
-/// the expected time there: own latency estimate times own requests in flight, made higher by
-/// failures, slow start and another zone. Load reports lag and lie and have no part in it.
+/// Chooses a server by the power of two choices: the cheaper of two random servers. The cost
+/// estimates the time until an answer: this node's latency estimate times its requests in flight,
+/// increased for failures, during slow start and for servers in another zone. Load reports of
+/// servers are not used because they may be outdated or wrong.
 class Balancer {
  public:
   Balancer(const BalancerSettings& settings, double batch_slot_part, ZoneId own_zone,
@@ -32,16 +33,16 @@
         own_zone_(std::move(own_zone)),
         environment_(environment) {}
 
-  /// Null when no server has room. Ejected servers count only when all are ejected.
+  /// Returns null if no server has room. Ejected servers are only used if all are ejected.
   ServerPointer pick(const std::vector<ServerPointer>& usable, const PickRequest& request,
                      TimePoint now) const;
 
-  /// Whether the server may take a request now, ejection aside.
+  /// Returns whether the server may take a request now. Ignores ejections.
   bool hasRoom(const ServerState& server, const PickRequest& request, TimePoint now) const;
 
   double cost(const ServerState& server, double average_latency_ms, TimePoint now) const;
 
-  /// The part of a full share that slow start allows, in (0, 1].
+  /// Returns the fraction of a full share that slow start allows, in (0, 1].
   double slowStartShare(const ServerState& server, TimePoint now) const;
 
  private:
--- a/src/proxy/call_profile.cpp
+++ b/src/proxy/call_profile.cpp
@@ -5,22 +5,22 @@
 namespace coursepond::proxy {
 namespace {
 
-/// What of the older runs is left with each new one: the average is over about the last 200, a few
-/// seconds of a busy server.
-constexpr double kFade = 1.0 - 1.0 / 200;
+/// Weight that older runs keep with each new run. The average covers about the last 200 runs, which
+/// are a few seconds of a busy server.
+constexpr double kDecay = 1.0 - 1.0 / 200;
 
 }  // namespace
 
 void CallProfile::onRunStarted(double repeat_share) {
   ++running_;
   repeats_running_ += repeat_share;
-  runs_ = runs_ * kFade + 1;
-  for (auto& [service, calls] : calls_) calls *= kFade;
+  runs_ = runs_ * kDecay + 1;
+  for (auto& [service, calls] : calls_) calls *= kDecay;
 }
 
 void CallProfile::onRunEnded(double repeat_share) {
   --running_;
-  // Sums of fractions drift; with no run there is no repeat.
+  // Reset the sum when nothing runs, since sums of fractions accumulate rounding errors.
   repeats_running_ = running_ == 0 ? 0 : std::max(0.0, repeats_running_ - repeat_share);
 }
 
--- a/src/proxy/call_profile.h
+++ b/src/proxy/call_profile.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the runs of one server call, as its node sees it.
+/// Which services a server calls while it runs requests, as observed by its node.
 
 #include <cstddef>
 #include <map>
@@ -11,15 +11,15 @@
 
 class CallProfile {
  public:
-  /// A request begins to run at the server; see HopClass::repeat_share.
+  /// Called when a request starts to run on the server. For `repeat_share` see HopClass.
   void onRunStarted(double repeat_share);
   void onRunEnded(double repeat_share);
-  /// The server calls `service`.
+  /// Called when the server calls `service`.
   void onCall(const ServiceName& service) { calls_[service] += 1; }
-  /// What was taken for calls was not.
-  void forgetCalls() { calls_.clear(); }
+  /// Discards all calls, because requests were wrongly counted as calls.
+  void resetCalls() { calls_.clear(); }
 
-  /// The part of the present runs that are repeats, from 0 to 1.
+  /// Returns the fraction of the current runs that are repeats, from 0 to 1.
   double repeatShare() const;
   /// Calls that one run makes, by service; an average of the last runs.
   std::map<ServiceName, double> callsPerRun() const;
@@ -27,7 +27,7 @@
  private:
   std::size_t running_ = 0;
   double repeats_running_ = 0;
-  // Both fade by the same part with each run, so that their quotient is an average.
+  // Both decay by the same factor with each run, so that their quotient is an average.
   double runs_ = 0;
   std::map<ServiceName, double> calls_;
 };
--- a/src/proxy/concurrency_limit.cpp
+++ b/src/proxy/concurrency_limit.cpp
@@ -8,8 +8,8 @@
 namespace coursepond::proxy {
 namespace {
 
-/// The limit grows only while it is what holds requests back.
-constexpr double kBindingPart = 0.8;
+/// The limit only grows while requests in flight use at least this fraction of it.
+constexpr double kMinUtilization = 0.8;
 
 }  // namespace
 
@@ -24,23 +24,24 @@
 }
 
 std::uint32_t ConcurrencyLimit::value() const {
-  // To the nearest: always rounding down would leave half a slot per node and server unused.
+  // Rounded to nearest: rounding down would leave half a slot per node and server unused.
   return std::max<std::uint32_t>(1, static_cast<std::uint32_t>(std::lround(limit_)));
 }
 
 void ConcurrencyLimit::onAnswered(std::uint32_t in_flight, bool reports_full,
                                   const ConcurrencySettings& settings) {
-  if (in_flight < kBindingPart * value()) return;
-  // Until the first refusal the limit doubles per round: nothing is known of the others yet.
-  double step = refused_once_ ? settings.increase_step / std::max(limit_, 1.0) : 1.0;
+  if (in_flight < kMinUtilization * value()) return;
+  // Until the first refusal the limit doubles with each round of answers, since the load of the
+  // other nodes is not known yet.
+  double step = was_refused_ ? settings.increase_step / std::max(limit_, 1.0) : 1.0;
   if (reports_full) step *= settings.full_report_growth;
   limit_ = std::min(limit_ + step, slots_);
 }
 
 void ConcurrencyLimit::onRefused(std::uint32_t in_flight, Duration service_time, TimePoint now,
                                  const ConcurrencySettings& settings) {
-  if (refused_once_ && now - last_decrease_ < service_time) return;
-  refused_once_ = true;
+  if (was_refused_ && now - last_decrease_ < service_time) return;
+  was_refused_ = true;
   last_decrease_ = now;
   const double used = std::min(limit_, static_cast<double>(std::max<std::uint32_t>(in_flight, 1)));
   limit_ = std::max(used * settings.decrease_factor, settings.lowest_limit);
--- a/src/proxy/connection_policy.h
+++ b/src/proxy/connection_policy.h
@@ -14,15 +14,16 @@
   model::Endpoint endpoint;
 };
 
-/// What a connection pool may do, as the decision classes see it.
+/// Tells a connection pool which connections it may open and keep.
 class ConnectionPolicy {
  public:
   virtual ~ConnectionPolicy() = default;
-  /// Connections that may be open to one server of the service (at least 1).
+  /// Returns the maximum number of connections to one server of the service, at least 1.
   virtual std::uint32_t connectionBudget(const ServiceName& service,
                                          const EndpointId& endpoint) const = 0;
-  /// True when the server may still be used for new work.
+  /// Returns whether the server may still be used for new requests.
   virtual bool usable(const ServiceName& service, const EndpointId& endpoint) const = 0;
+  /// Returns the servers to which idle connections should be kept open.
   virtual std::vector<WarmServer> warmServers() const = 0;
 };
 
--- a/src/proxy/connection_share.h
+++ b/src/proxy/connection_share.h
@@ -8,30 +8,31 @@
 
 namespace coursepond::proxy {
 
-/// How many of a server's connections this node may hold: an even part of the server's limit, and
-/// less for a while after the server refused a connection (other nodes hold more than their part).
+/// Limits the number of connections from this node to one server: an even share of the server's
+/// limit, and fewer for a while after the server refused a connection, because other nodes have
+/// more than their share open.
 class ConnectionShare {
  public:
-  /// One connection comes back per this time after a refusal.
-  static constexpr Duration kRecovery = std::chrono::milliseconds(500);
+  /// Time after a refusal in which the limit recovers by one connection.
+  static constexpr Duration kRecoveryInterval = std::chrono::milliseconds(500);
 
-  /// The even part: `connections` of one server over `nodes`, at least 1.
+  /// Returns the even share: the `connections` of one server divided by `nodes`, at least 1.
   static std::uint32_t evenPart(std::uint32_t connections, std::size_t nodes) {
     const std::size_t part = connections / std::max<std::size_t>(nodes, 1);
     return static_cast<std::uint32_t>(std::max<std::size_t>(part, 1));
   }
 
-  /// A connection was refused while `open` others were in use.
+  /// Called when a connection was refused while `open` other connections were open.
   void onRefused(std::uint32_t open, TimePoint now) {
     limited_ = true;
     cap_ = std::max<std::uint32_t>(open, 1);
     refused_at_ = now;
   }
 
-  /// The connections this node may hold now.
+  /// Returns the maximum number of connections that this node may have open now.
   std::uint32_t value(std::uint32_t even_part, TimePoint now) const {
     if (!limited_) return even_part;
-    const auto recovered = static_cast<std::uint64_t>((now - refused_at_) / kRecovery);
+    const auto recovered = static_cast<std::uint64_t>((now - refused_at_) / kRecoveryInterval);
     return static_cast<std::uint32_t>(std::min<std::uint64_t>(cap_ + recovered, even_part));
   }
 
--- a/src/proxy/deadline_queue.cpp
+++ b/src/proxy/deadline_queue.cpp
@@ -12,7 +12,7 @@
   disarm(entry);
   entry.due_ = due;
   entries_.insert(entry);
-  coverEarliest();
+  ensureTimer();
 }
 
 void DeadlineQueue::bringForward(TimePoint latest) {
@@ -22,16 +22,16 @@
     entry.due_ = latest;
     entries_.insert(entry);
   }
-  coverEarliest();
+  ensureTimer();
 }
 
 void DeadlineQueue::disarm(DeadlineEntry& entry) {
   if (entry.is_linked()) entry.unlink();
 }
 
-/// A timer that is due before the earliest entry is left alone: when it fires it finds nothing to
-/// do and moves on. That is what makes arming cheap.
-void DeadlineQueue::coverEarliest() {
+/// Ensures that the timer fires no later than the earliest deadline. A timer that is due earlier is
+/// not rescheduled: it fires, finds nothing to do and is scheduled again. This makes arming cheap.
+void DeadlineQueue::ensureTimer() {
   if (entries_.empty()) return;
   const TimePoint earliest = entries_.begin()->due_;
   if (timer_ != 0 && timer_due_ <= earliest) return;
@@ -49,7 +49,7 @@
     disarm(entry);
     entry.onDeadline(now);
   }
-  coverEarliest();
+  ensureTimer();
 }
 
 }  // namespace coursepond::proxy
--- a/src/proxy/deadline_queue.h
+++ b/src/proxy/deadline_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Many deadlines on one timer of the Environment. Most requests are answered long before their
-/// deadline, so that arming and disarming must cost no timer and no allocation.
+/// Multiplexes many deadlines onto one timer of the Environment. Most requests are answered long
+/// before their deadline, so arming and disarming must need neither a timer nor an allocation.
 
 #include <boost/intrusive/set.hpp>
 
@@ -10,7 +10,7 @@
 
 namespace coursepond::proxy {
 
-/// Something with at most one deadline at a time. Disarms itself when destroyed.
+/// An object with at most one deadline at a time. Its destructor disarms it.
 class DeadlineEntry : public boost::intrusive::set_base_hook<
                           boost::intrusive::link_mode<boost::intrusive::auto_unlink>> {
  public:
@@ -19,7 +19,7 @@
   DeadlineEntry(const DeadlineEntry&) = delete;
   DeadlineEntry& operator=(const DeadlineEntry&) = delete;
 
-  /// The deadline has passed; the entry is disarmed already.
+  /// Called when the deadline has passed. The entry is already disarmed.
   virtual void onDeadline(TimePoint now) = 0;
 
   friend bool operator<(const DeadlineEntry& left, const DeadlineEntry& right) {
@@ -39,15 +39,15 @@
   DeadlineQueue(const DeadlineQueue&) = delete;
   DeadlineQueue& operator=(const DeadlineQueue&) = delete;
 
-  /// Calls entry.onDeadline() once at or after `due`. An armed entry moves.
+  /// Calls entry.onDeadline() once at or after `due`. Replaces the deadline of an armed entry.
   void arm(DeadlineEntry& entry, TimePoint due);
-  /// No entry that is armed now is called later than `latest`.
+  /// Moves all deadlines that are later than `latest` to `latest`.
   void bringForward(TimePoint latest);
-  /// The entry will not be called. Does nothing when it isn't armed.
+  /// Cancels the deadline of the entry. Does nothing if it is not armed.
   void disarm(DeadlineEntry& entry);
 
  private:
-  void coverEarliest();
+  void ensureTimer();
   void runDue();
 
   Environment& environment_;
--- a/src/proxy/decision_log.h
+++ b/src/proxy/decision_log.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What was decided on a request, told so that a failure can be explained afterwards.
+/// Reports the decisions on each request, so that a failure can be explained afterwards.
 
 #include <cstdint>
 #include <string_view>
@@ -12,57 +12,57 @@
 namespace coursepond::proxy {
 
 enum class DecisionKind {
-  kForwarded,       ///< A server's answer was passed on.
-  kAttemptEnded,    ///< An attempt brought no answer to pass on.
-  kRepeatDenied,    ///< A further server is not asked, for want of allowance.
-  kAnsweredItself,  ///< The request got its final answer from this node.
-  kAnswerCut,       ///< A server's answer ended early on its way through.
-  kCallerGone,      ///< The caller left; what still ran for it was cancelled.
+  kForwarded,       ///< A server's answer is forwarded.
+  kAttemptEnded,    ///< An attempt ended without an answer to forward.
+  kRepeatDenied,    ///< No further attempt, because the retry budget is used up.
+  kAnsweredItself,  ///< This node itself gave the final answer.
+  kAnswerCut,       ///< A server's answer was truncated while it was forwarded.
+  kCallerGone,      ///< The caller disconnected, and its running attempt was cancelled.
 };
 
-/// "attempt_ended" and so on, for log lines.
+/// Returns the name for log lines, such as "attempt_ended".
 std::string_view decisionWord(DecisionKind kind);
 
-/// The two sides of a node, as decisions name them.
+/// Values of Decision::side.
 inline constexpr std::string_view kEgressSide = "egress";
 inline constexpr std::string_view kIngressSide = "ingress";
 
-/// What a decision was made from. An egress knows the ages, an ingress its load.
+/// The state that a decision was based on. An egress sets the ages, an ingress the load.
 struct DecisionInputs {
-  Duration configuration_age{};  ///< Since the version came into force here.
-  Duration entry_age{};          ///< Since the server's entry last changed here.
-  std::uint32_t running = 0;     ///< Requests at the server.
-  std::uint32_t waiting = 0;     ///< Requests that wait for a slot.
-  Duration queued{};             ///< How long this one was here before its server had it.
+  Duration configuration_age{};  ///< Time since the version came into force on this node.
+  Duration entry_age{};          ///< Time since the server's entry last changed on this node.
+  std::uint32_t running = 0;     ///< Requests running on the server.
+  std::uint32_t waiting = 0;     ///< Requests waiting for a slot.
+  Duration queued{};             ///< Time from the request's arrival until its server received it.
 };
 
-/// One decision; the views last for the call.
+/// One decision. The string views are only valid during the call.
 struct Decision {
   DecisionKind kind = DecisionKind::kForwarded;
   std::string_view side;           ///< kEgressSide or kIngressSide.
-  std::string_view request;        ///< Its id.
-  RequestFingerprint fingerprint;  ///< Equal for requests that servers cannot tell apart.
-  std::string_view service;        ///< Empty while no route is found.
+  std::string_view request;        ///< Request id.
+  RequestFingerprint fingerprint;  ///< Equal for requests that servers cannot distinguish.
+  std::string_view service;        ///< Empty if no route matched.
   std::uint32_t attempt = 0;
-  std::string_view server;  ///< Of the attempt; empty when there was none.
-  std::string_view reason;  ///< A stable word; empty for kForwarded.
-  int status = 0;           ///< As told to the caller; zero for kAttemptEnded.
-  Duration elapsed{};       ///< Since the request began here.
-  Version version;          ///< Of the configuration it is served under.
+  std::string_view server;  ///< Server of the attempt; empty if there was none.
+  std::string_view reason;  ///< A stable name; empty for kForwarded.
+  int status = 0;           ///< Status sent to the caller; zero for kAttemptEnded.
+  Duration elapsed{};       ///< Time since the request started on this node.
+  Version version;          ///< Version of the configuration that the request uses.
   DecisionInputs inputs;
 };
 
-/// What this node holds of a server changed.
+/// A change in what this node knows of a server.
 enum class ServerChange {
-  kListed,       ///< New, or back.
-  kLeaving,      ///< It says that it is leaving.
-  kLapsed,       ///< Its entry went without that.
-  kForgotten,    ///< It is used no more.
-  kUnreachable,  ///< Its ingress cannot be reached: avoided for a while.
-  kReached,      ///< Its ingress answers again.
+  kListed,       ///< The server is new or listed again.
+  kLeaving,      ///< The server announced that it is leaving.
+  kLapsed,       ///< The server's entry disappeared without such an announcement.
+  kForgotten,    ///< The server was removed and is no longer used.
+  kUnreachable,  ///< The server's ingress cannot be reached and is avoided for a while.
+  kReached,      ///< The server's ingress answers again.
 };
 
-/// "server_listed" and so on, for log lines.
+/// Returns the name for log lines, such as "server_listed".
 std::string_view changeWord(ServerChange change);
 
 class DecisionLog {
--- a/src/proxy/leaving_marks.h
+++ b/src/proxy/leaving_marks.h
@@ -8,23 +8,25 @@
 
 namespace coursepond::proxy {
 
-/// Remembers which servers are leaving. The sources of that knowledge (endpoint records, the
-/// servers' own X-Draining) lag and cross each other, so a mark is sticky: it ends only with a
-/// record that is newer than the mark, says live, and arrives when the mark is at least `hold`
-/// old. A restarted server is best listed under a new endpoint id, which bears no mark.
+/// Remembers which servers are leaving. This information comes from endpoint records and from the
+/// X-Draining headers of servers, which may be outdated and arrive out of order. Therefore a mark
+/// is sticky: it is only removed by a record that is newer than the mark, lists the server as live,
+/// and arrives when the mark is at least `hold` old. A restarted server should be listed under a
+/// new endpoint id, which has no mark.
 class LeavingMarks {
  public:
   explicit LeavingMarks(Duration hold) : hold_(hold) {}
 
-  /// The server is leaving, as of a record of `generation` or of an answer seen under it.
+  /// Marks the server as leaving. `generation` is that of the record that says so, or of the
+  /// current record when an answer of the server said so.
   void mark(const EndpointId& endpoint, Generation generation, TimePoint now);
 
-  /// Takes in one line of an endpoint record. Returns whether the server is leaving.
+  /// Processes one endpoint of a record. Returns whether the server is leaving.
   bool onRecord(const model::Endpoint& endpoint, Generation generation, TimePoint now);
 
-  bool marked(const EndpointId& endpoint) const { return marks_.contains(endpoint); }
+  bool isMarked(const EndpointId& endpoint) const { return marks_.contains(endpoint); }
 
-  /// Forgets marks that are older than `hold` and whose server `is_listed` doesn't know any more.
+  /// Removes marks that are at least `hold` old and whose server is no longer listed.
   template <typename IsListed>
   void forgetUnlisted(TimePoint now, const IsListed& is_listed) {
     std::erase_if(marks_, [&](const auto& entry) {
--- a/src/proxy/outlier_detector.h
+++ b/src/proxy/outlier_detector.h
@@ -10,24 +10,24 @@
 
 namespace coursepond::proxy {
 
-/// What is remembered of one server's failures.
+/// The failure history of one server.
 struct OutlierRecord {
-  /// The failure rate halves in this time without answers.
+  /// Time without answers in which the failure rate halves.
   static constexpr Duration kFailureHalfLife = std::chrono::seconds(5);
 
   std::uint32_t consecutive_failures = 0;
-  std::uint32_t connect_failures = 0;  ///< In a row, nothing else between.
-  DecayingAverage failure_rate{0.0};   ///< Moving average, 0..1.
-  std::uint32_t answers = 0;           ///< Since the last ejection.
-  std::uint32_t ejections = 0;         ///< In a row, without a healthy time between.
+  std::uint32_t connect_failures = 0;  ///< Consecutive failed connections.
+  DecayingAverage failure_rate{0.0};   ///< Moving average, from 0 to 1.
+  std::uint32_t answers = 0;           ///< Results since the last ejection, including failures.
+  std::uint32_t ejections = 0;         ///< Ejections without a healthy period in between.
   TimePoint ejected_until;
 
   bool ejected(TimePoint now) const { return now < ejected_until; }
   double failureRate(TimePoint now) const { return failure_rate.value(now, 0.0, kFailureHalfLife); }
 };
 
-/// Decides when a failing server is left out, and for how long. Whether the floor allows it is
-/// the caller's to ask first (`mayEject`).
+/// Decides when a failing server is ejected and for how long. The caller must check mayEject()
+/// before it ejects a server.
 class OutlierDetector {
  public:
   OutlierDetector(const OutlierSettings& settings, Environment& environment)
@@ -35,24 +35,27 @@
 
   void onSuccess(OutlierRecord& record, TimePoint now) const;
 
-  /// Counts a failure. True when there are enough of them for an ejection.
+  /// Records a failure. Returns whether there are enough failures for an ejection.
   bool onFailure(OutlierRecord& record, TimePoint now) const;
 
-  /// Whether the server fails clearly more than its peers in use do on average. When all fail
-  /// alike the fault is elsewhere (a bad route, a lost dependency), and ejecting half of them
-  /// would only overload the rest. A server that takes no connections is one whatever its peers do.
+  /// Returns whether the server fails clearly more often than its peers on average. If all servers
+  /// fail alike, the cause is elsewhere (a bad route, an unavailable dependency), and ejecting half
+  /// of them would only overload the rest. A server that accepts no connections is always an
+  /// outlier.
   bool isOutlier(const OutlierRecord& record, double peer_failure_rate, TimePoint now) const;
 
-  /// Whether one more of `usable` servers may be ejected when `ejected` are already: up to the
-  /// floor, or, when the server takes no connections and so serves nobody, up to the last but one.
+  /// Returns whether one more of `usable` servers may be ejected if `ejected` already are. At most
+  /// the largest ejected part may be, or all but one if the server accepts no connections, because
+  /// it serves no requests anyway.
   bool mayEject(const OutlierRecord& record, std::size_t ejected, std::size_t usable) const;
 
-  bool takesNoConnections(const OutlierRecord& record) const {
+  bool acceptsNoConnections(const OutlierRecord& record) const {
     return record.connect_failures >= settings_.consecutive_failures;
   }
 
-  /// Ejects until record.ejected_until: the base length, doubled by each ejection in a row, and
-  /// up to a tenth more, so that nodes don't return at one moment.
+  /// Ejects the server until record.ejected_until. The base length doubles with each further
+  /// ejection. A jitter of up to a tenth keeps the nodes from returning to the server at the same
+  /// time.
   void eject(OutlierRecord& record, TimePoint now) const;
 
  private:
--- a/src/proxy/proxy_parts.h
+++ b/src/proxy/proxy_parts.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The shared parts behind ProxyState, for RequestFlow.
+/// The implementation of ProxyState, which RequestFlow uses.
 
 #include <map>
 #include <memory>
@@ -12,24 +12,24 @@
 
 namespace coursepond::proxy {
 
-/// A snapshot made ready for routing. Requests keep the one they began with.
+/// A snapshot with its route table. Each request uses the one that it started with.
 struct RoutingSnapshot {
-  explicit RoutingSnapshot(model::SnapshotPointer held)
-      : snapshot(std::move(held)), table(snapshot->routes) {}
+  explicit RoutingSnapshot(model::SnapshotPointer its_snapshot)
+      : snapshot(std::move(its_snapshot)), table(snapshot->routes) {}
 
   model::SnapshotPointer snapshot;
   RouteTable table;
-  std::vector<std::shared_ptr<ServiceState>> services;  ///< Of each route, in the routes' order.
+  std::vector<std::shared_ptr<ServiceState>> services;  ///< Service of each route, by route index.
 };
 
 class ProxyState::Parts {
  public:
   Parts(ZoneId zone, Settings values, Environment& clock);
 
-  /// The service's state, made when it isn't there yet.
+  /// Returns the service's state, which is created if it does not exist yet.
   std::shared_ptr<ServiceState> service(const ServiceName& name);
   const ServiceState* findService(const ServiceName& name) const;
-  void install(model::SnapshotPointer held);
+  void install(model::SnapshotPointer next_snapshot);
 
   const ZoneId own_zone;
   const Settings settings;
@@ -44,7 +44,7 @@
 
  private:
   friend class ProxyState;
-  void forgetUnused();
+  void removeUnused();
 
   std::map<ServiceName, std::shared_ptr<ServiceState>> services_;
 };
--- a/src/proxy/proxy_state.cpp
+++ b/src/proxy/proxy_state.cpp
@@ -23,20 +23,21 @@
   return found == services_.end() ? nullptr : found->second.get();
 }
 
-void ProxyState::Parts::install(model::SnapshotPointer held) {
-  auto next = std::make_shared<RoutingSnapshot>(held);
-  for (const auto& [name, settings_of_service] : held->services) {
+void ProxyState::Parts::install(model::SnapshotPointer next_snapshot) {
+  auto next = std::make_shared<RoutingSnapshot>(next_snapshot);
+  for (const auto& [name, settings_of_service] : next_snapshot->services) {
     service(name)->configure(settings_of_service);
   }
-  for (const model::Route& route : held->routes) next->services.push_back(service(route.service));
-  snapshot = std::move(held);
+  for (const model::Route& route : next_snapshot->routes)
+    next->services.push_back(service(route.service));
+  snapshot = std::move(next_snapshot);
   routing = std::move(next);
-  forgetUnused();
+  removeUnused();
 }
 
-/// Services come and go for months; what neither the snapshot nor an endpoint nor a request needs
-/// is dropped.
-void ProxyState::Parts::forgetUnused() {
+/// Removes services that neither the snapshot nor an endpoint nor a request needs. Otherwise they
+/// would accumulate, since a node runs for months while services come and go.
+void ProxyState::Parts::removeUnused() {
   std::erase_if(services_, [&](const auto& entry) {
     return entry.second->idle() && !snapshot->services.contains(entry.first);
   });
--- a/src/proxy/proxy_state.h
+++ b/src/proxy/proxy_state.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The data-path state that all requests of one node share: the snapshot, the servers of each
-/// service and what was observed of them, queues, retry budgets.
+/// The data-path state that is shared by all requests of one node: the snapshot, the servers of
+/// each service with their observed state, the queues and the retry budgets.
 
 #include <memory>
 #include <vector>
@@ -14,37 +14,37 @@
 
 namespace coursepond::proxy {
 
-/// Counters for /metrics and the simulator. Never reset. Each request that is not routed to an
-/// answer counts once in one of the refused_, shed_ or outcome_ counters, or in caller_gone.
+/// Counters for /metrics and the simulator. Never reset. Each request that gets no server answer is
+/// counted once in one of the refused_, shed_ or outcome_ counters, or in caller_gone.
 struct ProxyStatistics {
-  std::uint64_t requests = 0;               ///< Started.
-  std::uint64_t answers_forwarded = 0;      ///< Server answers passed on whole.
-  std::uint64_t answers_cut = 0;            ///< Server answers that broke off half way.
-  std::uint64_t attempts = 0;               ///< Requests handed to a connection, retries included.
-  std::uint64_t retries = 0;                ///< Attempts beyond a request's first.
-  std::uint64_t retries_denied_budget = 0;  ///< Not retried since the retry budget was spent.
-  std::uint64_t server_refusals = 0;        ///< Not-run answers of servers, retried ones included.
+  std::uint64_t requests = 0;               ///< Started requests.
+  std::uint64_t answers_forwarded = 0;      ///< Server answers forwarded completely.
+  std::uint64_t answers_cut = 0;            ///< Server answers that were truncated.
+  std::uint64_t attempts = 0;               ///< Attempts, including retries.
+  std::uint64_t retries = 0;                ///< Attempts after the first one of a request.
+  std::uint64_t retries_denied_budget = 0;  ///< Retries denied because the budget was used up.
+  std::uint64_t server_refusals = 0;        ///< "Not run" answers of servers, including retried.
   std::uint64_t queued = 0;                 ///< Requests that waited for a slot.
   std::uint64_t refused_no_route = 0;       ///< 404, and 400 for ambiguous paths.
   std::uint64_t refused_queue_full = 0;
-  std::uint64_t refused_deadline = 0;   ///< Not run: too little time, or none, was left.
-  std::uint64_t refused_no_server = 0;  ///< No server in use, or no configuration yet.
+  std::uint64_t refused_deadline = 0;   ///< Not run, because too little time was left.
+  std::uint64_t refused_no_server = 0;  ///< No usable server, or no configuration yet.
   std::uint64_t refused_stopping = 0;
-  std::uint64_t refused_by_servers = 0;  ///< Not run after the last attempt that was allowed.
+  std::uint64_t refused_by_servers = 0;  ///< Not run, and no further attempt was allowed.
   std::uint64_t shed_batch = 0;
   std::uint64_t outcome_unknown = 0;  ///< 502 and 504: the request may have run.
-  std::uint64_t caller_gone = 0;      ///< The caller left before its answer.
-  std::uint64_t ejections = 0;        ///< Servers left out for their failures.
+  std::uint64_t caller_gone = 0;      ///< The caller disconnected before it got an answer.
+  std::uint64_t ejections = 0;        ///< Ejections of failing servers.
 };
 
-/// One server as this node sees it, for the status page.
+/// State of one server as observed by this node, for the status page.
 struct ServerReport {
   ServiceName service;
   model::Endpoint endpoint;
   std::uint32_t in_flight = 0;
   double latency_ms = 0;         ///< Moving average of answered requests.
-  double reported_load = 0;      ///< As last reported, 0..1.
-  double concurrency_limit = 0;  ///< Requests this node allows itself on the server.
+  double reported_load = 0;      ///< As last reported by the server, from 0 to 1.
+  double concurrency_limit = 0;  ///< Maximum number of requests in flight from this node.
   bool ejected = false;
   bool draining = false;
 };
@@ -54,32 +54,32 @@
   ProxyState(ZoneId own_zone, Settings settings, Environment& environment);
   ~ProxyState() override;
 
-  /// Puts a snapshot in force for requests that start from now on. A lower version than the one
-  /// in force is refused (returns false).
+  /// Applies a snapshot to requests that start from now on. Returns false and does nothing if its
+  /// version is lower than the current one.
   bool apply(model::SnapshotPointer snapshot);
   const model::SnapshotPointer& snapshot() const;
   void updateEndpoints(const model::EndpointSet& endpoints);
-  /// How many nodes share the servers; divides their connection limits.
+  /// Sets the number of nodes that share the servers. Their connection limits are divided by it.
   void setNodeCount(std::size_t nodes);
 
-  /// Connections this node may open to one server of the service (at least 1).
+  /// Returns the maximum number of connections to one server of the service, at least 1.
   std::uint32_t connectionBudget(const ServiceName& service) const;
-  /// The same for one server; lower while the server refuses connections.
+  /// Returns the same for a specific server. Lower while the server refuses connections.
   std::uint32_t connectionBudget(const ServiceName& service,
                                  const EndpointId& endpoint) const override;
-  /// True when the server may still be used for new work (known, live, not draining).
+  /// Returns whether the server may be used for new requests (known, live, not draining).
   bool usable(const ServiceName& service, const EndpointId& endpoint) const override;
-  /// The servers in use that are not ejected.
+  /// Returns the usable servers that are not ejected.
   std::vector<WarmServer> warmServers() const override;
 
-  /// A planned stop began: new requests are refused, those in flight finish.
+  /// Starts a planned stop: new requests are refused, and those in flight finish.
   void beginStop();
   std::size_t requestsInFlight() const;
 
   const ProxyStatistics& statistics() const;
   std::vector<ServerReport> serverReports() const;
 
-  /// Internal to src/proxy: the parts RequestFlow works with.
+  /// Internal to src/proxy: the state that RequestFlow uses.
   class Parts;
   Parts& parts();
 
--- a/src/proxy/repeatability.h
+++ b/src/proxy/repeatability.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Which requests may be sent to a back end again, and after what.
+/// Decides which requests may be sent to a server again, and after which failures.
 
 #include <string_view>
 
@@ -9,23 +9,23 @@
 
 namespace coursepond::proxy {
 
-/// What is known about a finished attempt.
+/// Whether the server may have run a finished attempt.
 enum class AttemptEffect {
-  kNotRun,     ///< No byte was sent, or the back end said that it refused.
-  kMayHaveRun  ///< Bytes were sent and nothing is known.
+  kNotRun,     ///< No byte was sent, or the server reported that it refused the request.
+  kMayHaveRun  ///< Bytes were sent, and whether the server ran the request is unknown.
 };
 
-/// Whether a request of this route and method may run more than once.
+/// Returns whether a request with this route and method may run more than once.
 bool mayRunTwice(model::Repeatability repeatability, std::string_view method);
 
-/// What a failure tells about the attempt. When in doubt, kMayHaveRun.
+/// Returns whether a failed attempt may have run. Returns kMayHaveRun if that is unknown.
 AttemptEffect effectOf(AttemptFailure failure);
 
-/// Whether a further attempt could end differently at all.
+/// Returns whether a further attempt could succeed.
 bool canBeRetried(AttemptFailure failure);
 
-/// A failure that happened on this node and cost the server nothing: neither the retry budget nor
-/// the attempts of a request are charged for it.
+/// Returns whether the failure happened on this node and caused no load on the server. Such a
+/// failure is charged neither to the retry budget nor to the request's attempts.
 bool isLocalFailure(AttemptFailure failure);
 
 }  // namespace coursepond::proxy
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -16,9 +16,10 @@
 constexpr int kServiceUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/// The least that is sent on as a deadline: zero would mean "expired" to the next hop.
+/// Minimum deadline that is sent to the next hop, for which zero would mean "expired".
 constexpr Duration kLeastRemaining = std::chrono::milliseconds(1);
-/// A server is blamed for a timeout when it had at least this part of the route's timeout.
+/// A timeout counts as a failure of the server if it had at least the route's timeout divided by
+/// this.
 constexpr Duration::rep kBlameDivisor = 2;
 
 bool isDotSegment(std::string_view segment) {
@@ -36,7 +37,8 @@
   return dots == 1 || dots == 2;
 }
 
-/// A back end may resolve "." and ".." segments and see another path than the one routed by.
+/// Returns whether the path has "." or ".." segments. A server may resolve these and see another
+/// path than the one that was used for routing.
 bool isAmbiguousPath(std::string_view path) {
   std::size_t slash = path.find('/');
   while (slash != std::string_view::npos) {
@@ -48,7 +50,7 @@
   return false;
 }
 
-/// Whether the caller itself was on a second or later attempt when it sent this request.
+/// Returns whether the caller sent this request as part of its own second or later attempt.
 bool isPartOfRetry(const RequestHead& head) {
   return std::any_of(head.headers.begin(), head.headers.end(), [](const HeaderField& field) {
     return equalsIgnoringCase(field.name, http_headers::kAttempt) && field.value != "1";
@@ -107,10 +109,10 @@
   }
 
   void onRefusedByServer(const AnswerHead& head, TimePoint now);
-  void passOn(TimePoint now);
+  void startForwarding(TimePoint now);
   bool mayRetry(bool is_free, TimePoint now);
   void retry(TimePoint now);
-  void giveUpAttempt(TimePoint now);
+  void abandonAttempt(TimePoint now);
 
   ServerPointer finish(TimePoint now);
   ServerPointer releaseServer(TimePoint now);
@@ -127,7 +129,7 @@
   std::shared_ptr<const RoutingSnapshot> routing_;
   const model::Route* route_ = nullptr;
   ServiceState* service_ = nullptr;  ///< Kept alive by routing_.
-  ServerPointer server_;             ///< Whose slot this request holds.
+  ServerPointer server_;             ///< The server on which this request has a slot, or null.
   Phase phase_ = Phase::kNew;
   AttemptId attempt_ = 0;
   std::uint32_t charged_attempts_ = 0;
@@ -188,7 +190,7 @@
 
 void RequestFlow::Implementation::onServerAssigned(const ServerPointer& server, TimePoint now) {
   server_ = server;
-  // The timer is late (this process was paused): don't begin what nobody waits for.
+  // The timer is late because this process was paused. Nobody waits for the answer any more.
   if (now >= deadline_) return conclude(Reason::kDeadline, now);
   parts_.deadlines.arm(*this, deadline_);
   sendAttempt(now);
@@ -254,16 +256,17 @@
   const TimePoint now = environment_.now();
   if (head.not_run) return onRefusedByServer(head, now);
   service_->onAnswered(*server_, head, now - attempt_started_, now);
-  passOn(now);
+  startForwarding(now);
 }
 
-/// "Not run" holds for this attempt only: it may be passed on when no earlier one may have run.
+/// "Not run" is only true for this attempt, so the answer must not be forwarded if an earlier
+/// attempt may have run.
 void RequestFlow::Implementation::onRefusedByServer(const AnswerHead& head, TimePoint now) {
   ++parts_.statistics.server_refusals;
   if (head.from_node) {
-    // A node deeper in the call refused, after trying what its budget allowed. Trying again at
-    // every hop on the way back would multiply the attempts.
-    if (!may_have_run_) return passOn(now);
+    // A node deeper in the call refused, after it made the retries that its budget allowed. Further
+    // retries at every hop on the way back would multiply the number of attempts.
+    if (!may_have_run_) return startForwarding(now);
     io_.discardAnswer(attempt_);
     return conclude(Reason::kServerRefused, now);
   }
@@ -275,14 +278,14 @@
   conclude(Reason::kServerRefused, now);
 }
 
-void RequestFlow::Implementation::passOn(TimePoint) {
+void RequestFlow::Implementation::startForwarding(TimePoint) {
   phase_ = Phase::kForwarding;
   parts_.deadlines.disarm(*this);
   io_.forwardAnswer(attempt_);
 }
 
-/// `is_free`: the attempt made no server work, so that neither the request's attempts nor the
-/// retry budget are charged.
+/// `is_free` is set if the attempt caused no work on a server. It is then charged neither to the
+/// request's attempts nor to the retry budget.
 bool RequestFlow::Implementation::mayRetry(bool is_free, TimePoint now) {
   if (may_have_run_ && !is_repeatable_) return false;
   if (now >= deadline_) return false;
@@ -305,16 +308,16 @@
 // ---- Ends
 
 void RequestFlow::Implementation::onDeadline(TimePoint now) {
-  if (phase_ == Phase::kAttempting) giveUpAttempt(now);
+  if (phase_ == Phase::kAttempting) abandonAttempt(now);
   const bool is_past = now >= deadline_;
   conclude(is_past ? Reason::kDeadline : Reason::kQueueTimeout, now);
 }
 
-void RequestFlow::Implementation::giveUpAttempt(TimePoint now) {
+void RequestFlow::Implementation::abandonAttempt(TimePoint now) {
   if (io_.bytesSent(attempt_)) may_have_run_ = true;
   io_.cancelAttempt(attempt_);
-  const bool had_its_time = now - attempt_started_ >= route_->timeout / kBlameDivisor;
-  if (had_its_time) service_->onTimedOut(*server_, now);
+  const bool had_enough_time = now - attempt_started_ >= route_->timeout / kBlameDivisor;
+  if (had_enough_time) service_->onTimedOut(*server_, now);
 }
 
 void RequestFlow::Implementation::onAnswerComplete(AttemptId attempt) {
@@ -345,7 +348,8 @@
   return released;
 }
 
-/// Gives back all that the request holds. The caller dispatches, except in the destructor.
+/// Releases everything that the request has. The caller must call dispatch() for the returned
+/// server, except in the destructor.
 ServerPointer RequestFlow::Implementation::finish(TimePoint now) {
   phase_ = Phase::kFinished;
   parts_.deadlines.disarm(*this);
@@ -365,7 +369,8 @@
   const LocalAnswer answer = makeAnswer(reason);
   const ServerPointer released = finish(now);
   io_.answerLocally(answer);
-  // A request that was refused while it waited was called from a dispatch that still goes on.
+  // A request that is refused while it waits is called from within a dispatch() that continues
+  // afterwards.
   if (was_attempting && released && service_ != nullptr) service_->dispatch(released, now);
 }
 
@@ -444,7 +449,7 @@
   }
 }
 
-// ---- The public face
+// ---- Public interface
 
 RequestFlow::RequestFlow(RequestHead head, ProxyState& state, Environment& environment,
                          RequestIo& io)
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// One request on its way through a node: route, admit, choose a server, retry, give up. A state
-/// machine without sockets. The I/O layer (runtime) and the simulator both implement RequestIo
-/// and feed events in.
+/// Handles one request on a node: routing, admission, choice of a server, retries and the final
+/// answer. A state machine without sockets. The I/O layer (runtime) and the simulator implement
+/// RequestIo and deliver the events.
 ///
-/// Lifetime: start() -> any of { startAttempt .. events } -> exactly one of forwardAnswer()
+/// Lifetime: start() -> any number of { startAttempt .. events } -> exactly one of forwardAnswer()
 /// followed by onAnswerComplete()/onAnswerCut(), or answerLocally(). After that, or after
-/// onCallerGone(), the flow is finished and calls nothing more.
+/// onCallerGone(), the flow is finished and makes no further calls.
 
 #include <cstdint>
 #include <functional>
@@ -30,37 +30,40 @@
   std::string value;
 };
 
-/// Units of HopClass::repeat_share on the wire: thousandths.
+/// HopClass::repeat_share is sent in thousandths.
 inline constexpr double kRepeatShareUnits = 1000.0;
 
-/// What an egress tells an ingress of a request, so that the ingress can order its queue.
+/// Properties of a request that an egress sends to an ingress, which uses them to order its queue
+/// and to decide about admission.
 struct HopClass {
-  std::string service;        ///< That is to run it.
-  std::uint32_t rank = 0;     ///< The lowest goes first.
-  Duration target_latency{};  ///< Zero: not known.
+  std::string service;        ///< The service that must run the request.
+  std::uint32_t rank = 0;     ///< Position in the queue; the lowest rank is served first.
+  Duration target_latency{};  ///< Zero if not known.
   bool is_repeatable = false;
-  /// Made by a server for a request that it runs: while it waits, that one holds its slot.
+  /// The request was made by a server while it runs another request, which occupies a slot for as
+  /// long as this one waits.
   bool is_call = false;
-  /// From 0 to 1: how likely it is that this run counts as a repeat. 1 when a server may have seen
-  /// the request before; for a call, the part of the calling server's runs that are repeats.
+  /// Probability that this run counts as a repeat, from 0 to 1. It is 1 if a server may have seen
+  /// the request before. For a call, it is the fraction of the calling server's runs that are
+  /// repeats.
   double repeat_share = 0;
-  /// Whether it may wait for a slot; otherwise only a free one will do.
+  /// Whether the request may wait for a slot. Otherwise it is refused if no slot is free.
   bool may_wait = true;
-  RequestFingerprint fingerprint{};  ///< Empty: not known.
-  /// Servers ended under this request: it shows here whether they do so again.
+  RequestFingerprint fingerprint{};  ///< Empty if not known.
+  /// The request is a crash suspect, and this run tests whether it crashes the server again.
   bool is_trial = false;
 };
 
-/// What an ingress tells egresses of its server, with every answer.
+/// Load of a server, which its ingress sends to egresses with every answer.
 struct HopLoad {
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint32_t slots = 0;
   Duration service_time{};  ///< Moving average.
-  bool draining = false;    ///< Takes no new work: the server or the ingress itself is leaving.
+  bool draining = false;    ///< The server or the ingress is leaving and takes no new requests.
 };
 
-/// What the flow needs of a request's head.
+/// The parts of a request's head that the flow needs.
 struct RequestHead {
   std::string request_id;
   std::string method;
@@ -69,114 +72,117 @@
   std::vector<HeaderField> headers;
   std::optional<Duration> deadline;  ///< From X-Deadline-Ms.
   std::optional<model::Priority> priority;
-  std::optional<HopClass> hop_class;  ///< From an egress.
-  std::string target_instance;        ///< The only instance that may run it; empty: any.
-  std::optional<Digest> key_digest;   ///< Of the API key that it carries.
-  std::string tenant;  ///< Whose it is, as the hop before says. Not to be trusted from a caller.
-  RequestFingerprint fingerprint{};  ///< Of what its caller sent; empty at an ingress.
+  std::optional<HopClass> hop_class;  ///< Sent by an egress.
+  std::string target_instance;        ///< The only instance that may run it; empty if any may.
+  std::optional<Digest> key_digest;   ///< Digest of the request's API key.
+  std::string tenant;  ///< Tenant according to the previous hop. Not trusted if sent by a caller.
+  RequestFingerprint fingerprint{};  ///< Fingerprint of the caller's request; empty at an ingress.
 };
 
 using AttemptId = std::uint32_t;
 
-/// Send the request to this server now.
+/// Describes an attempt: where to send the request and with which headers.
 struct AttemptPlan {
-  AttemptId id = 0;  ///< From 1.
+  AttemptId id = 0;  ///< Starts at 1.
   ServiceName service;
   model::Endpoint endpoint;
-  Duration remaining;       ///< Until the deadline; goes into X-Deadline-Ms.
+  Duration remaining;       ///< Time until the deadline; sent in X-Deadline-Ms.
   bool replayable = false;  ///< The I/O layer should keep the body for a possible further attempt.
-  /// X-Attempt, X-Priority for batch work, and the route's secrets (never log). X-Deadline-Ms and
-  /// X-Request-Id are the I/O layer's.
+  /// X-Attempt, X-Priority for batch requests, and the route's secrets (never log). The I/O layer
+  /// itself sets X-Deadline-Ms and X-Request-Id.
   std::vector<HeaderField> headers_to_set;
-  // Of an egress: what the next hop is told.
+  // Only set by an egress, for the next hop.
   std::string target_instance;
   ServiceName caller_service;
-  /// The caller's API key and what it says of the tenant are left out, and `tenant` is told.
+  /// The caller's API key and tenant headers are removed, and `tenant` is sent instead.
   bool replaces_tenant = false;
-  TenantName tenant;  ///< Whose the request is; empty: nobody's.
+  TenantName tenant;  ///< Tenant of the request; empty if it has none.
   std::optional<HopClass> hop_class;
-  /// The body is held back until the next hop says that it is about to run the request. Until
-  /// then the request surely has not run.
+  /// The body is not sent before the next hop reports that it is about to run the request. Until
+  /// then it is certain that the request has not run.
   bool confirm = false;
 };
 
-/// How an attempt ended without an answer's head.
+/// Why an attempt ended without an answer's head.
 enum class AttemptFailure {
   kConnectFailed,     ///< No byte was sent.
   kNoConnectionFree,  ///< The connection budget of the server is used up; no byte was sent.
-  kClosedUnsent,      ///< A kept connection turned out closed before any byte was written.
-  kCannotReplay,      ///< The body is no longer at hand: no byte of this attempt was sent.
-  kLostAfterSend,     ///< Bytes were sent and the connection was lost before an answer's head.
-  kMalformedAnswer,   ///< The server answered something that is not HTTP, or over limits.
+  kClosedUnsent,      ///< A kept-alive connection was closed before any byte was written.
+  kCannotReplay,      ///< The body is no longer available; no byte of this attempt was sent.
+  kLostAfterSend,    ///< The connection was lost after bytes were sent and before an answer's head.
+  kMalformedAnswer,  ///< The server's answer is not valid HTTP or exceeds limits.
 };
 
 /// The head of a server's answer.
 struct AnswerHead {
   int status = 0;
-  bool not_run = false;   ///< X-Outcome: not-run, or the server's own word for it.
+  bool not_run = false;   ///< X-Outcome: not-run, or the server's own header for it.
   bool draining = false;  ///< X-Draining: 1.
   std::optional<Duration> retry_after;
   std::optional<double> load;  ///< busy/slots of X-Load.
-  /// The answer carries X-Configuration-Version: one of our nodes, deeper in the call, made it.
+  /// The answer has X-Configuration-Version: another node deeper in the call created it.
   bool from_node = false;
-  std::string request_id;        ///< As the answer carries it back.
-  bool is_signed = false;        ///< Carries a server's signature.
-  bool is_encoded = false;       ///< Its body is not the server's own bytes.
-  std::string instance;          ///< The server's own instance, if it says so.
-  std::uint64_t body_bytes = 0;  ///< As far as it is known when the head is told.
+  std::string request_id;        ///< The request id that the answer returns.
+  bool is_signed = false;        ///< The answer has a server's signature.
+  bool is_encoded = false;       ///< The body was re-encoded and is not the server's own bytes.
+  std::string instance;          ///< The server's instance id, if it sent one.
+  std::uint64_t body_bytes = 0;  ///< As far as it is known when the head arrives.
   std::optional<HopLoad> hop_load;
-  std::string_view node_outcome;  ///< X-Outcome: one of our nodes made this answer.
-  std::string_view node_reason;   ///< X-Reason beside it.
+  std::string_view node_outcome;  ///< X-Outcome, if a node created this answer.
+  std::string_view node_reason;   ///< X-Reason, if a node created this answer.
 };
 
 enum class Outcome { kNotRun, kUnknown };
 
-/// The node's own final answer to the caller.
+/// A final answer to the caller that this node created itself.
 struct LocalAnswer {
   int status = 0;  ///< 400, 401, 404, 429, 431, 503 (not run), 502 or 504 (unknown).
   Outcome outcome = Outcome::kNotRun;
-  std::string reason;                   ///< X-Reason: a stable word.
+  std::string reason;                   ///< X-Reason: a stable name.
   std::optional<Duration> retry_after;  ///< Always set with 429 and 503.
 };
 
-/// The I/O layer's side. Called from inside flow events, also from those of other requests (a slot
-/// that one request frees starts the next). May call back into the flow, or destroy it, only from
-/// a later event.
+/// Implemented by the I/O layer. Its functions are called while the flow handles an event, also an
+/// event of another request (a slot that one request frees starts the next). They must not call the
+/// flow or destroy it before a later event.
 class RequestIo {
  public:
   virtual ~RequestIo() = default;
   virtual void startAttempt(const AttemptPlan& plan) = 0;
-  /// Give the attempt up: close its connection, never reuse it. No event for it follows.
+  /// Cancels the attempt. Its connection must be closed and not reused. No event for the attempt
+  /// may follow.
   virtual void cancelAttempt(AttemptId attempt) = 0;
-  /// Whether the first byte of the request may have left for the server. Asked just before
-  /// cancelAttempt(); when in doubt, true (the caller is then told "unknown").
+  /// Returns whether the first byte of the request may have been sent to the server. Called just
+  /// before cancelAttempt(). Must return true if that is not known; the outcome for the caller is
+  /// then "unknown".
   virtual bool bytesSent(AttemptId) const { return true; }
-  /// The answer whose head was just reported is not wanted: no event for the attempt follows. A
-  /// short remainder may be read so that the connection can be kept; the default closes it.
+  /// Discards the answer whose head was just reported. No event for the attempt may follow. A short
+  /// remainder may be read so that the connection can be kept. The default closes the connection.
   virtual void discardAnswer(AttemptId attempt) { cancelAttempt(attempt); }
-  /// Stream the answer whose head was just reported to the caller.
+  /// Streams the answer whose head was just reported to the caller.
   virtual void forwardAnswer(AttemptId attempt) = 0;
   virtual void answerLocally(const LocalAnswer& answer) = 0;
 };
 
-/// One request on its way through a node, as the I/O layer drives it. Destroyed when its answer is
-/// written, or its connection is gone.
+/// One request on a node, as driven by the I/O layer. Destroyed when its answer is written or its
+/// connection is closed.
 class Exchange {
  public:
   virtual ~Exchange() = default;
   virtual void start() = 0;
   virtual void onAttemptFailed(AttemptId attempt, AttemptFailure failure) = 0;
-  /// The next hop said that it has the request.
+  /// Called when the next hop confirmed that it received the request.
   virtual void onAttemptReceived(AttemptId) {}
   virtual void onAnswerHead(AttemptId attempt, const AnswerHead& head) = 0;
-  /// The whole answer was passed on.
+  /// Called when the whole answer was forwarded.
   virtual void onAnswerComplete(AttemptId attempt) = 0;
-  /// The answer broke off half way: the caller's connection must be cut, never ended short.
+  /// Called when the answer was truncated. The caller's connection must be aborted, so that the
+  /// answer does not look complete.
   virtual void onAnswerCut(AttemptId attempt) = 0;
   virtual void onCallerGone() = 0;
-  /// The version this request is served under (zero when none was in force).
+  /// Returns the configuration version that this request uses, or zero if there was none.
   virtual Version configurationVersion() const = 0;
-  /// What the next hop towards the caller is told with the answer, if this is an ingress.
+  /// Returns the load to send with the answer towards the caller, if this is an ingress.
   virtual std::optional<HopLoad> hopLoad() const { return std::nullopt; }
 };
 
--- a/src/proxy/retry_accounts.cpp
+++ b/src/proxy/retry_accounts.cpp
@@ -6,23 +6,24 @@
 namespace coursepond::proxy {
 namespace {
 
-/// The id of a call is that of its parent, this, and a part of its own, as is usual for
-/// hierarchical request ids. Servers that do otherwise are told by averages.
+/// The id of a call consists of the id of its parent, this separator and a suffix, as is usual for
+/// hierarchical request ids. For servers that use other ids, calls are estimated by averages.
 constexpr char kChildSeparator = '.';
-/// A smaller number of nodes counts after this time: longer than a source's outage lets entries
-/// lapse and come back, and than the spans of some ten seconds over which operators bound repeats.
-constexpr Duration kFewerNodesHold = std::chrono::seconds(30);
-/// Runs that are at least as likely to be a repeat may be turned away.
+/// Time after which a smaller number of nodes takes effect. Longer than entries stay lapsed because
+/// of an outage of the source, and longer than the spans of about ten seconds for which operators
+/// set upper bounds for repeats.
+constexpr Duration kFewerNodesDelay = std::chrono::seconds(30);
+/// A run may be refused if its probability of being a repeat is at least this.
 constexpr double kProbableRepeat = 0.5;
-/// Of a node's part of the burst, left by those that may use half.
-constexpr double kKeptByHalf = 0.5;
-/// A service whose requests were not repeated for so long needs nothing kept for them: some service
-/// times of a busy server.
-constexpr Duration kRepeatsWantedFor = std::chrono::seconds(2);
-/// Steps of a random draw from 0 to 1.
+/// Fraction of a node's share of the burst that RepeatUse::kHalf leaves unused.
+constexpr double kReservedByHalf = 0.5;
+/// Half of the share is reserved for repeats of a service until none was wanted for this time,
+/// which is several service times of a busy server.
+constexpr Duration kRepeatReservationTime = std::chrono::seconds(2);
+/// Resolution of a random draw from 0 to 1.
 constexpr std::uint64_t kDrawSteps = 1'000'000;
 
-double keptShare(RepeatUse use) { return use == RepeatUse::kHalf ? kKeptByHalf : 0; }
+double reservedShare(RepeatUse use) { return use == RepeatUse::kHalf ? kReservedByHalf : 0; }
 
 }  // namespace
 
@@ -45,13 +46,13 @@
 }
 
 void RetryAccounts::setNodes(std::size_t nodes) {
-  if (nodes == 0) return;  // Nothing is listed yet, or nothing any more.
+  if (nodes == 0) return;  // No nodes are listed, or their entries have lapsed.
   const TimePoint now = environment_.now();
   if (nodes < nodes_) {
-    if (!std::exchange(is_told_fewer_, true)) fewer_nodes_since_ = now;
-    if (now - fewer_nodes_since_ < kFewerNodesHold) return;
+    if (!std::exchange(has_fewer_nodes_, true)) fewer_nodes_since_ = now;
+    if (now - fewer_nodes_since_ < kFewerNodesDelay) return;
   }
-  is_told_fewer_ = false;
+  has_fewer_nodes_ = false;
   nodes_ = nodes;
   for (auto& [service, account] : accounts_) applySettings(account);
 }
@@ -84,9 +85,9 @@
   RetryAccount& account = this->account(service);
   ++account.statistics.first_attempts;
   ServerRun* const parent = parentOf(request);
-  if (parent != nullptr) learnOfCalls();
-  // Without a word of their parents, all that begins here may be calls.
-  const bool may_be_call = parent != nullptr || !knows_calls_;
+  if (parent != nullptr) onCallIdentified();
+  // If calls do not name their parent, every request that starts on this node may be a call.
+  const bool may_be_call = parent != nullptr || !can_identify_calls_;
   if (may_be_call) profile_.onCall(service);
   const double own_share = may_be_call ? profile_.repeatShare() : 0;
   const double repeat_share = parent != nullptr ? parent->repeat_share : own_share;
@@ -95,9 +96,10 @@
   return repeat_share;
 }
 
-/// Until then, whatever began at this node was counted as a call of the own server.
-void RetryAccounts::learnOfCalls() {
-  if (!std::exchange(knows_calls_, true)) profile_.forgetCalls();
+/// Called for each call that names its parent. The first one resets the call profile, because until
+/// then every request that started on this node was counted as a call of its server.
+void RetryAccounts::onCallIdentified() {
+  if (!std::exchange(can_identify_calls_, true)) profile_.resetCalls();
 }
 
 bool RetryAccounts::namesParent(std::string_view request) {
@@ -116,9 +118,9 @@
   account.statistics.calls_of_repeats += repeat_share;
   double cost = repeat_share;
   if (parent != nullptr) {
-    double& held = parent->held[service];
-    const double paid = std::min(held, cost);
-    held -= paid;
+    double& prepaid = parent->prepaid[service];
+    const double paid = std::min(prepaid, cost);
+    prepaid -= paid;
     cost -= paid;
   }
   account.allowance.charge(cost);
@@ -127,7 +129,7 @@
 bool RetryAccounts::takeRepeat(const ServiceName& service, RepeatReason reason, RepeatUse use) {
   RetryAccount& account = this->account(service);
   account.last_asked = environment_.now();
-  if (!account.allowance.take(1, keptShare(use), draw())) {
+  if (!account.allowance.take(1, reservedShare(use), draw())) {
     ++account.statistics.denied;
     return false;
   }
@@ -143,44 +145,46 @@
 
 // ---- Ingress
 
-/// Where calls do not name their parent, they are charged as they come, and nothing is held for
-/// them: what is known of them would turn away the repeats of servers that make none.
+/// If calls do not name their parent, they are charged when they are made and nothing is prepaid.
+/// The call profile then also counts requests of other callers, and would refuse repeated runs on
+/// servers that make no calls.
 bool RetryAccounts::admit(ServerRun& run) {
-  if (run.is_call) learnOfCalls();
-  if (run.repeat_share > 0 && knows_calls_ && !payForCalls(run)) return false;
+  if (run.is_call) onCallIdentified();
+  if (run.repeat_share > 0 && can_identify_calls_ && !prepayCalls(run)) return false;
   runs_.emplace(run.request, &run);
   return true;
 }
 
-/// A repeat that costs one call is worth more than one that costs all calls of a run, so that half
-/// of the allowance is left to those while there are any. Kept at all times, it turned away 17
-/// repeats of one server in five seconds for the sake of a service that had nothing to repeat. A
-/// run that is hardly a repeat is charged, but never turned away.
-bool RetryAccounts::payForCalls(ServerRun& run) {
+/// Charges the expected calls of a repeated run in advance. Returns false if the retry budget does
+/// not cover them. A direct repeat costs one call, and a repeated run costs all of its calls, so
+/// half of the budget is reserved for direct repeats. It is only reserved while there are any:
+/// otherwise runs would be refused in favor of a service that has nothing to repeat. A run that is
+/// probably not a repeat is charged but never refused.
+bool RetryAccounts::prepayCalls(ServerRun& run) {
   for (const auto& [service, calls] : profile_.callsPerRun()) {
     RetryAccount& account = this->account(service);
     const double cost = run.repeat_share * calls;
     if (run.repeat_share < kProbableRepeat) {
       account.allowance.charge(cost);
-    } else if (!account.allowance.take(cost, keptForRepeats(account), draw())) {
+    } else if (!account.allowance.take(cost, reservedForRepeats(account), draw())) {
       ++account.statistics.runs_denied;
-      giveBackHeld(run);
+      refundPrepaid(run);
       return false;
     }
-    run.held[service] = cost;
+    run.prepaid[service] = cost;
   }
   return true;
 }
 
-double RetryAccounts::keptForRepeats(const RetryAccount& account) const {
+double RetryAccounts::reservedForRepeats(const RetryAccount& account) const {
   const bool is_wanted =
-      account.last_asked && environment_.now() - *account.last_asked < kRepeatsWantedFor;
-  return is_wanted ? kKeptByHalf : 0;
+      account.last_asked && environment_.now() - *account.last_asked < kRepeatReservationTime;
+  return is_wanted ? kReservedByHalf : 0;
 }
 
-void RetryAccounts::giveBackHeld(ServerRun& run) {
-  for (const auto& [service, held] : run.held) account(service).allowance.giveBack(held);
-  run.held.clear();
+void RetryAccounts::refundPrepaid(ServerRun& run) {
+  for (const auto& [service, prepaid] : run.prepaid) account(service).allowance.giveBack(prepaid);
+  run.prepaid.clear();
 }
 
 void RetryAccounts::onStarted(ServerRun& run) {
@@ -195,7 +199,7 @@
     runs_.erase(entry);
     break;
   }
-  giveBackHeld(run);
+  refundPrepaid(run);
   if (std::exchange(run.is_running, false)) profile_.onRunEnded(run.repeat_share);
 }
 
--- a/src/proxy/retry_accounts.h
+++ b/src/proxy/retry_accounts.h
@@ -1,14 +1,14 @@
 #pragma once
 
-/// What this node adds to the arrivals at each service beyond the first of each request: requests
-/// that it sends to a further server, and the calls of its own server's runs that are repeats.
-/// Shared by the egress and the ingress of a node.
+/// Retry budgets of this node, one per called service. A budget limits the requests that the node
+/// adds to the first arrival of each request: repeats that it sends to a further server, and calls
+/// made by repeated runs of its own server. Shared by the egress and the ingress of a node.
 ///
-/// A run that is a repeat makes its calls once more, and the called service sees them all beside
-/// the repeats that are made for it on purpose. If each hop kept a ratio of its own, the ratios
-/// would add up along the path: measured in a mesh of 13 nodes whose called service lost three of
-/// ten answers, 1,876 arrivals beyond the first in 10 s where 1,380 were allowed. So one allowance
-/// per service pays for both, and a repeated run is let in only while its calls can be paid for.
+/// A repeated run makes its calls once more, so the called service receives these in addition to
+/// the repeats that are sent to it directly. If each hop had a ratio of its own, the ratios would
+/// add up along the path: in a mesh of 13 nodes whose called service lost three of ten answers,
+/// that made 1,876 additional arrivals in 10 s where 1,380 were allowed. Therefore one budget per
+/// service pays for both, and a repeated run is only admitted while the budget covers its calls.
 
 #include <array>
 #include <cstddef>
@@ -26,61 +26,62 @@
 
 namespace coursepond::proxy {
 
-/// Why a request goes to a further server.
+/// Why a request is sent to a further server.
 enum class RepeatReason {
-  kServerFailed,   ///< The server answered with a failure of its own.
-  kServerRefused,  ///< The server rejected it without running it.
-  kAnswerLost,     ///< The connection ended, or the answer was not the request's.
-  kIngressSilent,  ///< The ingress did not say that it has the request.
-  kIngressLost,    ///< The ingress ended before it said that it has the request.
-  kOtherInstance,  ///< Another start of the server has the address.
+  kServerFailed,   ///< The server answered with an error of its own.
+  kServerRefused,  ///< The server rejected the request without running it.
+  kAnswerLost,     ///< The connection was lost, or the answer belonged to another request.
+  kIngressSilent,  ///< The ingress did not confirm in time that it received the request.
+  kIngressLost,    ///< The ingress ended before it confirmed that it received the request.
+  kOtherInstance,  ///< Another instance of the server now has the address.
 };
 inline constexpr std::size_t kRepeatReasons = 6;
 
-/// The stable word for metrics and log lines: "server_failed".
+/// Returns the stable name for metrics and log lines, such as "server_failed".
 std::string_view repeatWord(RepeatReason reason);
 
-/// What a repeat may use of the allowance.
+/// How much of the retry budget a repeat may use.
 enum class RepeatUse {
   kAll,
-  /// Leaves half of the node's part to others: little is gained by this one, or it costs more.
+  /// Leaves half of the node's share to other repeats, because this one is less useful or costs
+  /// more.
   kHalf,
 };
 
-/// What a node may add to the arrivals at a service.
+/// Bounds for the repeats that a node may add to the arrivals at a service.
 struct RetryAllowanceSettings {
-  /// Of its first attempts at a service,
+  /// Repeats per first attempt that the node sends to the service.
   double ratio = 0.15;
-  /// and in a burst: this many divided by the number of nodes.
+  /// Burst of all nodes, in repeats. Each node gets an equal share of it.
   double burst = 45;
 };
 
-/// What was counted for one service. Never reset.
+/// Counters for one service. Never reset.
 struct RetryStatistics {
   std::uint64_t first_attempts = 0;
   std::array<std::uint64_t, kRepeatReasons> repeats{};  ///< By RepeatReason.
-  std::uint64_t given_back = 0;   ///< Of the repeats, those that no server saw.
-  std::uint64_t denied = 0;       ///< Repeats, for want of allowance.
-  std::uint64_t runs_denied = 0;  ///< Repeated runs of the own server, which would call it.
-  double calls_of_repeats = 0;    ///< Calls by runs that are repeats, of a whole call each.
+  std::uint64_t given_back = 0;   ///< Repeats that reached no server and were refunded.
+  std::uint64_t denied = 0;       ///< Repeats denied because the budget was used up.
+  std::uint64_t runs_denied = 0;  ///< Repeated runs refused because they would call this service.
+  double calls_of_repeats = 0;    ///< Sum of the repeat shares of calls to this service.
 };
 
-/// One service, as seen from this node.
+/// Retry budget and counters of this node for one service.
 struct RetryAccount {
   RetryAllowance allowance;
-  std::optional<TimePoint> last_asked;  ///< When a repeat for this service was last wanted here.
+  std::optional<TimePoint> last_asked;  ///< When a repeat for this service was last requested.
   RetryStatistics statistics;
 };
 
-/// A request that the ingress has taken in for its server.
+/// A request that the ingress has admitted for its server.
 struct ServerRun {
-  std::string request;      ///< Its id.
+  std::string request;      ///< Request id.
   double repeat_share = 0;  ///< See HopClass::repeat_share.
   bool is_call = false;     ///< See HopClass::is_call.
-  bool is_running = false;  ///< The server has it.
-  TenantName tenant{};      ///< Whose it is; empty: nobody's. Its calls are the same tenant's.
-  /// Charged already for calls that it has not made yet.
-  std::map<ServiceName, double> held = {};
+  bool is_running = false;  ///< The request was sent to the server.
+  TenantName tenant{};      ///< Tenant of the request and of its calls; empty if it has none.
+  /// Cost of calls that are already charged but not made yet, by called service.
+  std::map<ServiceName, double> prepaid = {};
 };
 
 class RetryAccounts {
@@ -89,36 +90,37 @@
   explicit RetryAccounts(Environment& environment, RetryAllowanceSettings settings = {})
       : environment_(environment), settings_(settings) {}
 
-  /// The burst is divided by so many nodes. A smaller number counts only when it has stood for a
-  /// while: entries lapse while the source is away, and the parts of nodes that see few others
-  /// would add up to more than the burst.
+  /// Sets the number of nodes that share the burst. A smaller number only takes effect after the
+  /// number was smaller for a while: entries lapse while the source is unavailable, and the shares
+  /// of nodes that then see only a few others would add up to more than the burst.
   void setNodes(std::size_t nodes);
-  /// By how many nodes the burst is divided; zero: not known yet.
+  /// Returns the number of nodes that share the burst, or zero if it is not known yet.
   std::size_t nodes() const { return nodes_; }
-  /// For repeats from now on.
+  /// Takes effect for repeats from now on.
   void changeSettings(RetryAllowanceSettings settings);
 
-  // ---- Of the egress
+  // ---- Egress
 
-  /// A request that began at this node is sent for the first time. Returns how likely it is that it
-  /// counts as a repeat, because a repeated run of the own server makes it.
+  /// Called when a request that started on this node is sent for the first time. Returns the
+  /// probability that it counts as a repeat because a repeated run of this node's server makes it.
   double onFirstAttempt(const ServiceName& service, std::string_view request);
-  /// Whether a run of the own server makes this request.
+  /// Returns whether a current run of this node's server makes this request.
   bool isCall(std::string_view request) const { return parentOf(request) != nullptr; }
-  /// Whether the request's id says that it is a call, of whatever work.
+  /// Returns whether the request id has the form of a call, whether its parent is known or not.
   static bool namesParent(std::string_view request);
-  /// The run of the own server that makes this request; null when none is known to. Good until the
-  /// next call of remove().
+  /// Returns the run of this node's server that makes this request, or null if none is known. Valid
+  /// until the next call of remove().
   const ServerRun* callerOf(std::string_view request) const { return parentOf(request); }
-  /// Whether the request may go to a further server; if so it is charged.
+  /// Charges a repeat if the budget covers it. Returns whether the request may be sent to a further
+  /// server.
   bool takeRepeat(const ServiceName& service, RepeatReason reason, RepeatUse use);
-  /// What was taken last for this service reached no server.
+  /// Refunds the last repeat for this service because it reached no server.
   void giveBackRepeat(const ServiceName& service);
 
-  // ---- Of the ingress
+  // ---- Ingress
 
-  /// Takes the run in: false if it is a repeat whose calls cannot be paid for. `run` must stay
-  /// where it is until remove().
+  /// Admits the run. Returns false if it is a repeat whose calls the budget does not cover. `run`
+  /// must keep its address until remove().
   bool admit(ServerRun& run);
   void onStarted(ServerRun& run);
   void remove(ServerRun& run);
@@ -129,23 +131,24 @@
   RetryAccount& account(const ServiceName& service);
   void applySettings(RetryAccount& account) const;
   double draw();
-  bool payForCalls(ServerRun& run);
-  double keptForRepeats(const RetryAccount& account) const;
-  void giveBackHeld(ServerRun& run);
+  bool prepayCalls(ServerRun& run);
+  double reservedForRepeats(const RetryAccount& account) const;
+  void refundPrepaid(ServerRun& run);
   ServerRun* parentOf(std::string_view request) const;
-  void learnOfCalls();
+  void onCallIdentified();
   void chargeCall(ServerRun* parent, const ServiceName& service, double repeat_share);
 
   Environment& environment_;
   RetryAllowanceSettings settings_;
-  std::size_t nodes_ = 0;        ///< Zero: not known yet, and the part of the burst is zero.
-  TimePoint fewer_nodes_since_;  ///< While fewer than `nodes_` are told.
-  bool is_told_fewer_ = false;
+  std::size_t nodes_ = 0;  ///< Zero if not known yet; this node's share of the burst is then zero.
+  TimePoint fewer_nodes_since_;   ///< Valid while `has_fewer_nodes_`.
+  bool has_fewer_nodes_ = false;  ///< setNodes() was last called with less than `nodes_`.
   std::map<ServiceName, RetryAccount> accounts_;
   CallProfile profile_;
   std::unordered_multimap<std::string, ServerRun*> runs_;  ///< By request id.
-  /// Whether a call of this mesh was known by its id: then those of the own server are, too.
-  bool knows_calls_ = false;
+  /// Whether any call in this mesh was identified by its id. The calls of this node's server can
+  /// then be identified, too.
+  bool can_identify_calls_ = false;
 };
 
 }  // namespace coursepond::proxy
--- a/src/proxy/retry_budget.h
+++ b/src/proxy/retry_budget.h
@@ -7,8 +7,9 @@
 
 namespace coursepond::proxy {
 
-/// Bounds a service's retries to a percentage of its first attempts (token bucket), so that a
-/// failing service sees at most that much more load, at every hop of a deep call.
+/// Limits the retries for a service to a percentage of its first attempts (token bucket), so that
+/// retries increase the load of a failing service by at most that much, at every hop of a deep
+/// call.
 class RetryBudget {
  public:
   RetryBudget(std::uint32_t percent, const RetrySettings& settings);
@@ -16,7 +17,7 @@
   void setPercent(std::uint32_t percent) { percent_ = percent; }
 
   void onFirstAttempt();
-  /// Takes one token; false when there is none, or when the percentage is zero.
+  /// Takes one token. Returns false if there is none or the percentage is zero.
   bool take(TimePoint now);
 
  private:
--- a/src/proxy/route_table.cpp
+++ b/src/proxy/route_table.cpp
@@ -28,7 +28,7 @@
                      [&](const model::HeaderMatch& header) { return hasHeader(head, header); });
 }
 
-/// The order among routes of the same host and prefix.
+/// Order of the routes with the same host and prefix.
 bool goesBefore(const model::Route& left, const model::Route& right) {
   const auto rank = [](const model::Route& route) {
     return std::make_tuple(route.match.methods.empty(),
@@ -72,7 +72,8 @@
 
   std::string_view prefix = head.path;
   while (true) {
-    // Segments beyond the longest prefix can't match: a path of many slashes costs nothing.
+    // Skip segments beyond the longest prefix, which cannot match, so that a path with many slashes
+    // costs no lookups.
     if (prefix.size() > host_routes.longest_prefix) {
       const std::size_t slash = prefix.rfind('/', host_routes.longest_prefix);
       if (slash == std::string_view::npos) return std::nullopt;
--- a/src/proxy/route_table.h
+++ b/src/proxy/route_table.h
@@ -12,23 +12,25 @@
 
 namespace coursepond::proxy {
 
-/// Finds the route of a request. Of all routes whose every part matches, the first in this order:
-///   1. a route that names the host before one that takes any host;
+/// Finds the route of a request. Of all routes that match completely, it is the first in this
+/// order:
+///   1. a route for a specific host before one for any host;
 ///   2. the longer path prefix (whole segments);
-///   3. a route that names methods before one that takes any;
+///   3. a route for specific methods before one for any method;
 ///   4. the one with more header conditions;
 ///   5. by name.
-/// O(segments of the path, at most as long as the longest prefix), whatever the number of routes.
+/// A lookup is linear in the number of path segments, up to the length of the longest prefix, and
+/// does not depend on the number of routes with different prefixes.
 class RouteTable {
  public:
   /// `routes` must outlive the table.
   explicit RouteTable(const std::vector<model::Route>& routes);
 
-  /// The route's place in the vector the table was made of.
+  /// Returns the index of the route in the vector passed to the constructor.
   std::optional<std::size_t> find(const RequestHead& head) const;
 
  private:
-  /// The keys are texts of `routes_`.
+  /// The keys are views of strings in `routes_`.
   template <typename Value>
   using TextMap = std::unordered_map<std::string_view, Value>;
 
@@ -42,7 +44,7 @@
                                           const RequestHead& head) const;
 
   const std::vector<model::Route>& routes_;
-  TextMap<HostRoutes> by_host_;  ///< "" takes any host.
+  TextMap<HostRoutes> by_host_;  ///< The key "" has the routes for any host.
 };
 
 }  // namespace coursepond::proxy
--- a/src/proxy/server_set.cpp
+++ b/src/proxy/server_set.cpp
@@ -42,8 +42,8 @@
   return found == servers_.end() ? nullptr : found->second.get();
 }
 
-/// Another address under a known id is another process: nothing observed carries over but the
-/// leaving mark.
+/// A known id with another address is another process, so only the leaving mark is kept and all
+/// observed state is reset.
 void ServerSet::add(const model::Endpoint& endpoint, bool was_there_before, std::uint32_t slots,
                     std::size_t nodes, TimePoint now) {
   ServerPointer& server = servers_[endpoint.id];
@@ -52,7 +52,8 @@
     return;
   }
   server = std::make_shared<ServerState>(endpoint, slots, nodes);
-  // The servers of a zone's first record ran before this node knew of them: they are warm.
+  // Servers in the first record of a zone were running before this node learned of them, so they
+  // are already warm.
   server->warm_since = was_there_before ? now - settings_.balancer.slow_start : now;
 }
 
@@ -64,7 +65,7 @@
   }
 }
 
-/// Ordered by id, so that a run of the simulator doesn't depend on a hash.
+/// Sorted by id, so that runs of the simulator do not depend on the order of a hash map.
 void ServerSet::rebuildUsable() {
   usable_.clear();
   for (const auto& [id, server] : servers_) {
--- a/src/proxy/server_set.h
+++ b/src/proxy/server_set.h
@@ -12,23 +12,23 @@
 
 namespace coursepond::proxy {
 
-/// The servers of one service in all zones, kept through changes of the endpoint records.
+/// The servers of one service in all zones. Keeps their state when the endpoint records change.
 class ServerSet {
  public:
   explicit ServerSet(const Settings& settings)
       : settings_(settings), marks_(settings.leaving_mark_hold) {}
 
-  /// Takes in one zone's record; a record that is not newer than the one held is ignored. Known
-  /// servers keep what was observed of them. `slots` and `nodes` are for servers that are new.
+  /// Applies one zone's record. Ignores a record that is not newer than the current one. Known
+  /// servers keep their observed state. `slots` and `nodes` are used for new servers.
   void update(const model::EndpointSet& record, std::uint32_t slots, std::size_t nodes,
               TimePoint now);
 
-  /// The server itself said that it is leaving.
+  /// Called when the server itself announced that it is leaving.
   void markLeaving(ServerState& server, TimePoint now);
 
-  /// Servers that may take new work: listed and not leaving.
+  /// Returns the servers that may take new requests: those listed and not leaving.
   const std::vector<ServerPointer>& usable() const { return usable_; }
-  /// Every listed server.
+  /// Returns all listed servers.
   const std::unordered_map<EndpointId, ServerPointer>& all() const { return servers_; }
 
   bool isUsable(const EndpointId& endpoint) const;
--- a/src/proxy/server_state.h
+++ b/src/proxy/server_state.h
@@ -12,26 +12,26 @@
 
 namespace coursepond::proxy {
 
-/// One server of a service and everything this node observed of it. Requests that use it hold a
-/// pointer, so that it outlives its removal from the endpoint record.
+/// One server of a service and everything that this node observed of it. Requests that use it have
+/// a shared pointer, so that it outlives its removal from the endpoint record.
 struct ServerState {
   ServerState(model::Endpoint listed, std::uint32_t slots, std::size_t nodes)
       : endpoint(std::move(listed)), limit(slots, nodes) {}
 
-  /// May take no request before this time.
-  bool held(TimePoint now) const { return now < held_until; }
-  void hold(TimePoint until) { held_until = std::max(held_until, until); }
+  /// Returns whether the server must not get requests yet.
+  bool isBackingOff(TimePoint now) const { return now < backoff_until; }
+  void backOff(TimePoint until) { backoff_until = std::max(backoff_until, until); }
 
   model::Endpoint endpoint;
   std::uint32_t in_flight = 0;
   std::uint32_t batch_in_flight = 0;
-  DecayingAverage latency_ms;  ///< From sending to the answer's head.
-  double reported_load = 0;    ///< The server's own word, 0..1; may lag or lie.
+  DecayingAverage latency_ms;  ///< Time from sending a request to the answer's head.
+  double reported_load = 0;    ///< As reported by the server, 0..1; may be outdated or wrong.
   ConcurrencyLimit limit;
   ConnectionShare connections;
   OutlierRecord outlier;
-  TimePoint warm_since;  ///< Slow start began.
-  TimePoint held_until;
+  TimePoint warm_since;  ///< When slow start began.
+  TimePoint backoff_until;
   bool draining = false;
 };
 
--- a/src/proxy/service_state.cpp
+++ b/src/proxy/service_state.cpp
@@ -7,22 +7,24 @@
 
 /// Weight of one sample in the service's average latency and serving interval.
 constexpr double kAverageWeight = 0.05;
-/// The expected wait is trusted only with at least this many requests ahead.
-constexpr double kFewestAhead = 4;
+/// Minimum number of requests ahead for which the expected wait is accurate enough to be used.
+constexpr double kMinAhead = 4;
 /// Latency assumed before the first sample.
-constexpr double kUnknownLatencyMs = 5;
-/// A server that is full rests for this part of its service time: about when a slot frees.
-constexpr Duration::rep kRestDivisor = 4;
-constexpr Duration kShortestRest = std::chrono::microseconds(200);
-constexpr Duration kLongestRest = std::chrono::milliseconds(50);
-/// While requests wait, servers are looked at again at least this often.
-constexpr Duration kShortestWake = std::chrono::microseconds(200);
-constexpr Duration kLongestWake = std::chrono::milliseconds(5);
-constexpr Duration kShortestRetryAfter = std::chrono::milliseconds(100);
-constexpr Duration kLongestRetryAfter = std::chrono::seconds(30);
+constexpr double kDefaultLatencyMs = 5;
+/// The backoff for a server that is full is its service time divided by this, after which a slot is
+/// probably free.
+constexpr Duration::rep kBackoffDivisor = 4;
+constexpr Duration kMinBackoff = std::chrono::microseconds(200);
+constexpr Duration kMaxBackoff = std::chrono::milliseconds(50);
+/// Bounds for the interval in which servers are checked again while requests wait.
+constexpr Duration kMinWakeInterval = std::chrono::microseconds(200);
+constexpr Duration kMaxWakeInterval = std::chrono::milliseconds(5);
+constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(30);
 
 constexpr int kLowestServerError = 500;
-/// Without "not run" it says nothing certain about the request, but hardly that slots are free.
+/// Without "not run", this status does not say whether the request ran. It is no sign of free slots
+/// either, so it does not increase the concurrency limit.
 constexpr int kServiceUnavailable = 503;
 
 double asMilliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000.0; }
@@ -61,13 +63,13 @@
     }
   }
   const double ahead = queue_.expectedAhead(waiter.priority());
-  if (ahead >= kFewestAhead && now + expectedWait(ahead) > latest) {
+  if (ahead >= kMinAhead && now + expectedWait(ahead) > latest) {
     return Reason::kDeadlineTooShort;
   }
   const QueueEntry entry = queue_.enter(waiter);
   if (!entry.admitted) return entry.refusal;
   if (entry.displaced != nullptr) entry.displaced->onWaitEnded(Reason::kBatchShed, now);
-  armWake(now);
+  scheduleWake(now);
   return std::nullopt;
 }
 
@@ -76,7 +78,7 @@
   --in_flight_;
   if (priority == model::Priority::kBatch) --server.batch_in_flight;
   const Duration pause = server.limit.pause(serviceTime(server, now));
-  if (pause > Duration(0)) server.hold(now + std::min(pause, kLongestRest));
+  if (pause > Duration(0)) server.backOff(now + std::min(pause, kMaxBackoff));
 }
 
 void ServiceState::dispatch(const ServerPointer& released, TimePoint now) {
@@ -94,7 +96,7 @@
   } else if (servers_.usable().empty()) {
     refuseAll(Reason::kNoServer, now);
   } else {
-    armWake(now);
+    scheduleWake(now);
   }
 }
 
@@ -105,13 +107,13 @@
   const ServerPointer server = choose(*waiter, released, now);
   if (!server) return false;
   queue_.serveFront(priority);
-  noteServed(now);
+  recordServed(now);
   assign(*waiter, server, now);
   return true;
 }
 
-/// The slot that was just released is taken without a look at the others: in overload, when it
-/// matters, it is the only free one.
+/// Uses the slot that was just released without comparing servers: in an overload, when this
+/// matters, it is the only free slot.
 ServerPointer ServiceState::choose(const Waiter& waiter, const ServerPointer& released,
                                    TimePoint now) const {
   const PickRequest request = pickRequest(waiter);
@@ -128,7 +130,7 @@
   request.priority = waiter.priority();
   request.tried = &waiter.tried();
   request.connection_share = connectionShare();
-  request.average_latency_ms = average_latency_ms_.valueOr(kUnknownLatencyMs);
+  request.average_latency_ms = average_latency_ms_.valueOr(kDefaultLatencyMs);
   return request;
 }
 
@@ -149,29 +151,29 @@
   context_.deadlines.disarm(*this);
 }
 
-/// Wakes when the first resting server may be used again. An armed wake is left as it is: it
-/// comes soon enough.
-void ServiceState::armWake(TimePoint now) {
+/// Schedules a dispatch for when the first server that is backing off or ejected may be used again.
+/// Does nothing if one is already scheduled, since that is soon enough.
+void ServiceState::scheduleWake(TimePoint now) {
   if (is_linked()) return;
-  TimePoint due = now + kLongestWake;
+  TimePoint due = now + kMaxWakeInterval;
   for (const ServerPointer& server : servers_.usable()) {
-    const TimePoint rests_until = std::max(server->held_until, server->outlier.ejected_until);
-    if (rests_until > now) due = std::min(due, rests_until);
+    const TimePoint usable_at = std::max(server->backoff_until, server->outlier.ejected_until);
+    if (usable_at > now) due = std::min(due, usable_at);
   }
-  context_.deadlines.arm(*this, std::max(due, now + kShortestWake));
+  context_.deadlines.arm(*this, std::max(due, now + kMinWakeInterval));
 }
 
 void ServiceState::onAnswered(ServerState& server, const AnswerHead& head, Duration latency,
                               TimePoint now) {
-  noteLoad(server, head);
+  recordLoad(server, head);
   if (head.draining) servers_.markLeaving(server, now);
   if (head.status != kServiceUnavailable) {
     const double full_load = context_.settings.concurrency.full_report_load;
-    noteAccepted(server, head.load.value_or(0) >= full_load);
+    recordAccepted(server, head.load.value_or(0) >= full_load);
   }
-  // A deeper node's failure is not this server's.
+  // An error that a node deeper in the call created is not a failure of this server.
   const bool is_server_error = head.status >= kLowestServerError && !head.from_node;
-  if (is_server_error) return noteFailure(server, now);
+  if (is_server_error) return recordFailure(server, now);
 
   const BalancerSettings& balancer = context_.settings.balancer;
   const double latency_ms = asMilliseconds(latency);
@@ -181,22 +183,23 @@
   outliers_.onSuccess(server.outlier, now);
 }
 
-/// The server took the request in, whatever came of it: it had a slot.
-void ServiceState::noteAccepted(ServerState& server, bool reports_full) const {
+/// Called when the server accepted a request, whatever the result, which shows that it had a free
+/// slot.
+void ServiceState::recordAccepted(ServerState& server, bool reports_full) const {
   server.limit.onAnswered(server.in_flight, reports_full, context_.settings.concurrency);
 }
 
 void ServiceState::onRefused(ServerState& server, const AnswerHead& head, TimePoint now) {
-  noteLoad(server, head);
+  recordLoad(server, head);
   if (head.draining) return servers_.markLeaving(server, now);
   const Duration service_time = serviceTime(server, now);
   server.limit.onRefused(server.in_flight, service_time, now, context_.settings.concurrency);
-  restUntilSlotFrees(server, now);
+  backOffUntilSlotFrees(server, now);
 }
 
-void ServiceState::restUntilSlotFrees(ServerState& server, TimePoint now) const {
-  const Duration rest = serviceTime(server, now) / kRestDivisor;
-  server.hold(now + std::clamp(rest, kShortestRest, kLongestRest));
+void ServiceState::backOffUntilSlotFrees(ServerState& server, TimePoint now) const {
+  const Duration backoff = serviceTime(server, now) / kBackoffDivisor;
+  server.backOff(now + std::clamp(backoff, kMinBackoff, kMaxBackoff));
 }
 
 void ServiceState::onFailed(ServerState& server, AttemptFailure failure, TimePoint now) {
@@ -206,28 +209,30 @@
     case AttemptFailure::kCannotReplay:
       return;
     case AttemptFailure::kNoConnectionFree:
-      // Connections that are being closed still count; wait for one instead of insisting.
-      return restUntilSlotFrees(server, now);
+      // Connections that are being closed still count towards the budget. Wait for one of them
+      // instead of retrying at once.
+      return backOffUntilSlotFrees(server, now);
     case AttemptFailure::kConnectFailed:
-      // Either its connections are used up or it is gone: ask for fewer, and count it.
+      // Either the server's connections are used up or it is down. Lower its connection limit and
+      // count a failure.
       server.connections.onRefused(others, now);
       ++server.outlier.connect_failures;
-      noteFailure(server, now);
+      recordFailure(server, now);
       if (server.outlier.connect_failures >= 2) {
-        server.hold(now + context_.settings.outlier.connect_rest);
+        server.backOff(now + context_.settings.outlier.connect_backoff);
       }
       return;
     case AttemptFailure::kLostAfterSend:
     case AttemptFailure::kMalformedAnswer:
-      noteAccepted(server, false);
+      recordAccepted(server, false);
       server.outlier.connect_failures = 0;
-      return noteFailure(server, now);
+      return recordFailure(server, now);
   }
 }
 
-void ServiceState::onTimedOut(ServerState& server, TimePoint now) { noteFailure(server, now); }
+void ServiceState::onTimedOut(ServerState& server, TimePoint now) { recordFailure(server, now); }
 
-void ServiceState::noteFailure(ServerState& server, TimePoint now) {
+void ServiceState::recordFailure(ServerState& server, TimePoint now) {
   const bool should_eject = outliers_.onFailure(server.outlier, now);
   if (!should_eject || server.outlier.ejected(now)) return;
   const PeerHealth peers = peersOf(server, now);
@@ -254,11 +259,11 @@
   return health;
 }
 
-void ServiceState::noteLoad(ServerState& server, const AnswerHead& head) {
+void ServiceState::recordLoad(ServerState& server, const AnswerHead& head) {
   if (head.load) server.reported_load = std::clamp(*head.load, 0.0, 1.0);
 }
 
-void ServiceState::noteServed(TimePoint now) {
+void ServiceState::recordServed(TimePoint now) {
   if (serving_) serving_interval_ms_.add(asMilliseconds(now - last_served_), kAverageWeight, now);
   serving_ = true;
   last_served_ = now;
@@ -270,7 +275,7 @@
 }
 
 Duration ServiceState::serviceTime(const ServerState& server, TimePoint now) const {
-  const double average_ms = average_latency_ms_.valueOr(kUnknownLatencyMs);
+  const double average_ms = average_latency_ms_.valueOr(kDefaultLatencyMs);
   const double server_ms =
       server.latency_ms.value(now, average_ms, context_.settings.balancer.latency_half_life);
   return Duration(static_cast<Duration::rep>(server_ms * 1000.0));
@@ -279,7 +284,7 @@
 Duration ServiceState::retryAfter() const {
   const Duration wait = expectedWait(static_cast<double>(queue_.size() + 1));
   if (wait <= Duration(0)) return context_.settings.default_retry_after;
-  return std::clamp(wait, kShortestRetryAfter, kLongestRetryAfter);
+  return std::clamp(wait, kMinRetryAfter, kMaxRetryAfter);
 }
 
 std::uint32_t ServiceState::connectionShare() const {
--- a/src/proxy/service_state.h
+++ b/src/proxy/service_state.h
@@ -13,7 +13,7 @@
 
 namespace coursepond::proxy {
 
-/// What all services of a node share. The members outlive every ServiceState.
+/// State that is shared by all services of a node. The members outlive every ServiceState.
 struct ServiceContext {
   const ZoneId& own_zone;
   const Settings& settings;
@@ -23,53 +23,55 @@
   ProxyStatistics& statistics;
 };
 
-/// One service on one node: its servers, its queue and its retry budget. Gives slots to requests
-/// and learns from how their attempts end.
+/// One service on one node: its servers, its queue and its retry budget. Assigns slots to requests
+/// and updates the state of servers with the results of attempts.
 class ServiceState : private DeadlineEntry {
  public:
   explicit ServiceState(ServiceContext context);
 
-  /// Puts the service's settings of a new snapshot in force.
+  /// Applies the service's settings from a new snapshot.
   void configure(const model::Service& service);
   const model::Service& service() const { return service_; }
 
   void updateEndpoints(const model::EndpointSet& record, TimePoint now);
   const ServerSet& servers() const { return servers_; }
-  /// True when nothing would be lost by forgetting this service.
+  /// Returns whether this object has no servers and no requests, and may be removed.
   bool idle() const { return queue_.empty() && in_flight_ == 0 && servers_.all().empty(); }
 
-  /// A new request: gets a slot at once, waits, or is refused (the returned reason).
-  /// `latest` is when it would give up waiting.
+  /// Admits a new request, which gets a slot at once or waits. Returns a reason if it is refused.
+  /// `latest` is the time until which it would wait.
   std::optional<Reason> admit(Waiter& waiter, TimePoint latest, TimePoint now);
-  /// A further attempt: waits at the front. Call dispatch() afterwards.
+  /// Puts a request at the front of the queue for a further attempt. Call dispatch() afterwards.
   void readmit(Waiter& waiter) { queue_.reenter(waiter); }
-  /// The request stops waiting. Does nothing when it doesn't wait.
+  /// Removes the request from the queue. Does nothing if it is not waiting.
   void leave(Waiter& waiter) { queue_.leave(waiter); }
-  /// Gives a slot back. Call dispatch() afterwards.
+  /// Releases a slot. Call dispatch() afterwards.
   void release(ServerState& server, model::Priority priority, TimePoint now);
-  /// Gives free slots to waiting requests; `released`, when not null, is looked at first.
+  /// Assigns free slots to waiting requests. If `released` is not null, it is tried first.
   void dispatch(const ServerPointer& released, TimePoint now);
 
-  /// The head of a proper answer came `latency` after the attempt began.
+  /// Called when the head of an answer arrived `latency` after the attempt began.
   void onAnswered(ServerState& server, const AnswerHead& head, Duration latency, TimePoint now);
-  /// The server answered that it did not run the request.
+  /// Called when the server answered that it did not run the request.
   void onRefused(ServerState& server, const AnswerHead& head, TimePoint now);
   void onFailed(ServerState& server, AttemptFailure failure, TimePoint now);
-  /// The attempt was given up at the deadline, after waiting long enough to blame the server.
+  /// Called when the attempt was cancelled at the deadline and the server had enough time to count
+  /// this as its failure.
   void onTimedOut(ServerState& server, TimePoint now);
 
   RetryBudget& retryBudget() { return retry_budget_; }
-  /// When a refused caller should come back: the time the queue needs, in bounds.
+  /// Returns the time after which a refused caller should retry: the expected wait in the queue,
+  /// within bounds.
   Duration retryAfter() const;
 
-  /// This node's even part of one server's connections.
+  /// Returns this node's even share of one server's connections.
   std::uint32_t connectionShare() const;
 
  private:
-  /// The other servers in use, as a measure for one.
+  /// State of the other usable servers, with which a failing server is compared.
   struct PeerHealth {
     std::size_t ejected = 0;
-    double failure_rate = 0;  ///< The average of those not ejected.
+    double failure_rate = 0;  ///< Average of those that are not ejected.
   };
 
   void onDeadline(TimePoint now) override { dispatch(nullptr, now); }
@@ -79,16 +81,16 @@
   bool assignFront(model::Priority priority, const ServerPointer& released, TimePoint now);
   ServerPointer choose(const Waiter& waiter, const ServerPointer& released, TimePoint now) const;
   void refuseAll(Reason reason, TimePoint now);
-  void armWake(TimePoint now);
+  void scheduleWake(TimePoint now);
 
-  void noteServed(TimePoint now);
+  void recordServed(TimePoint now);
   Duration expectedWait(double ahead) const;
   Duration serviceTime(const ServerState& server, TimePoint now) const;
-  /// Leaves a server alone for about as long as it takes until one of its slots frees.
-  void restUntilSlotFrees(ServerState& server, TimePoint now) const;
-  static void noteLoad(ServerState& server, const AnswerHead& head);
-  void noteAccepted(ServerState& server, bool reports_full) const;
-  void noteFailure(ServerState& server, TimePoint now);
+  /// Sends no requests to a server for about the time until one of its slots is free.
+  void backOffUntilSlotFrees(ServerState& server, TimePoint now) const;
+  static void recordLoad(ServerState& server, const AnswerHead& head);
+  void recordAccepted(ServerState& server, bool reports_full) const;
+  void recordFailure(ServerState& server, TimePoint now);
   PeerHealth peersOf(const ServerState& server, TimePoint now) const;
 
   ServiceContext context_;
@@ -99,7 +101,7 @@
   OutlierDetector outliers_;
   Balancer balancer_;
   DecayingAverage average_latency_ms_;
-  DecayingAverage serving_interval_ms_;  ///< Between two waiting requests that got a slot.
+  DecayingAverage serving_interval_ms_;  ///< Time between two slots given to waiting requests.
   TimePoint last_served_;
   bool serving_ = false;  ///< The queue has not been empty since last_served_.
   std::size_t in_flight_ = 0;
--- a/tests/proxy/policies_test.cpp
+++ b/tests/proxy/policies_test.cpp
@@ -283,7 +283,7 @@
   CHECK(marks.onRecord(endpoint("s1"), Generation(6), kStart + seconds(29)));
   CHECK_FALSE(marks.onRecord(endpoint("s2"), Generation(6), kStart));
   CHECK_FALSE(marks.onRecord(endpoint("s1"), Generation(6), kStart + seconds(30)));
-  CHECK_FALSE(marks.marked(EndpointId("s1")));
+  CHECK_FALSE(marks.isMarked(EndpointId("s1")));
 }
 
 TEST_CASE("a leaving mark survives the server's absence from the record") {
