--- a/src/admission/crash_suspects.cpp
+++ b/src/admission/crash_suspects.cpp
@@ -70,7 +70,7 @@
 
 void CrashSuspects::onServerEnd(ServerEndId end, std::span<const RequestFingerprint> requests,
                                 TimePoint now) {
-  if (std::exchange(last_end_, end) != end) ++statistics_.server_ends;
+  if (std::exchange(last_server_end_, end) != end) ++statistics_.server_ends;
   for (const RequestFingerprint request : requests) {
     if (!request.empty()) addEnd(request, end, now);
   }
--- a/src/admission/crash_suspects.h
+++ b/src/admission/crash_suspects.h
@@ -140,7 +140,7 @@
   std::function<void()> on_change_;
   VerdictListener on_verdict_;
   CrashSuspectStatistics statistics_;
-  ServerEndId last_end_ = 0;
+  ServerEndId last_server_end_ = 0;
 };
 
 }  // namespace coursepond::admission
--- a/src/admission/quota_accounts.h
+++ b/src/admission/quota_accounts.h
@@ -42,8 +42,8 @@
 struct QuotaStatistics {
   std::uint64_t passed = 0;
   std::uint64_t refused = 0;
-  std::uint64_t asked = 0;         ///< Asks sent to owners, including this node's own pool.
-  std::uint64_t ask_failures = 0;  ///< Asks without an answer.
+  std::uint64_t asked = 0;         ///< Token requests to owners, including this node's own pool.
+  std::uint64_t ask_failures = 0;  ///< Token requests without an answer.
   std::uint64_t unowned = 0;       ///< Requests checked against the even share, without an owner.
 };
 
--- a/src/admission/quota_pool.cpp
+++ b/src/admission/quota_pool.cpp
@@ -18,9 +18,9 @@
 /// Idle time after which a tenant is removed. Its bucket is full and its leases are over long
 /// before that.
 constexpr Duration kIdleTimeout = std::chrono::seconds(15);
-/// Upper bound for the asks per second that an owner receives for one tenant whose quota is
-/// exhausted. An ask costs about as much as one hop of a request, and a node with a tenth of a core
-/// handles some hundreds of these per second.
+/// Target rate of the token requests per second that an owner receives for one tenant whose quota
+/// is exhausted. A token request costs about as much as one hop of a request, and a node with a
+/// tenth of a core handles some hundreds of these per second.
 constexpr double kAsksPerSecond = 150;
 constexpr Duration kMinWait = std::chrono::milliseconds(50);
 constexpr Duration kMaxWait = std::chrono::seconds(1);
--- a/src/admission/quota_pool.h
+++ b/src/admission/quota_pool.h
@@ -32,7 +32,7 @@
         : owned(first_tokens, now), unowned(0, now), last_asked(now), lent_at(now) {}
     QuotaBucket owned;
     QuotaBucket unowned;                        ///< Used while this node stands in for the owner.
-    std::map<std::string, TimePoint> asked_at;  ///< Time of the last ask, by asker.
+    std::map<std::string, TimePoint> asked_at;  ///< Time of the last token request, by asker.
     TimePoint last_asked;
     /// Estimated number of tokens that were lent for expected requests and are not used yet. The
     /// borrowing nodes may use them at the same time as the tokens in this bucket, so that both
--- a/src/proxy/request_flow.h
+++ b/src/proxy/request_flow.h
@@ -109,8 +109,8 @@
   kNoConnectionFree,  ///< The connection budget of the server is used up; no byte was sent.
   kClosedUnsent,      ///< A kept-alive connection was closed before any byte was written.
   kCannotReplay,      ///< The body is no longer available; no byte of this attempt was sent.
-  kLostAfterSend,    ///< The connection was lost after bytes were sent and before an answer's head.
-  kMalformedAnswer,  ///< The server's answer is not valid HTTP or exceeds limits.
+  kLostAfterSend,     ///< Bytes were sent, and the connection was lost before an answer's head.
+  kMalformedAnswer,   ///< The server's answer is not valid HTTP or exceeds limits.
 };
 
 /// The head of a server's answer.
@@ -124,7 +124,7 @@
   bool from_node = false;
   std::string request_id;        ///< The request id that the answer returns.
   bool is_signed = false;        ///< The answer has a server's signature.
-  bool is_encoded = false;       ///< The body was re-encoded and is not the server's own bytes.
+  bool is_encoded = false;       ///< Has a Content-Encoding: not the server's own bytes.
   std::string instance;          ///< The server's instance id, if it sent one.
   std::uint64_t body_bytes = 0;  ///< As far as it is known when the head arrives.
   std::optional<HopLoad> hop_load;
--- a/tests/admission/quota_fleet_test.cpp
+++ b/tests/admission/quota_fleet_test.cpp
@@ -207,7 +207,7 @@
   }
 }
 
-TEST_CASE("a tenant that sends many times its quota gets its quota and not much less") {
+TEST_CASE("a tenant that sends many times its quota gets no more than it and not much less") {
   for (const double rate : {8.0, 258.0}) {
     CAPTURE(rate);
     const auto burst = static_cast<std::uint32_t>(rate);
@@ -281,7 +281,7 @@
   CHECK(fleet.isWithinQuota());
 }
 
-TEST_CASE("with twice the nodes, the owner of an exhausted quota hardly receives more asks") {
+TEST_CASE("twice the nodes hardly send more token requests to the owner of an exhausted quota") {
   const auto asksPerSecond = [](std::size_t nodes) {
     Fleet fleet(nodes, makeTenant(258, 258));
     fleet.sendLoad(seconds(5), 1200, nodes);
--- a/tests/proxy/deep_call_test.cpp
+++ b/tests/proxy/deep_call_test.cpp
@@ -1,4 +1,4 @@
-// Calls that go through several nodes: attempts must not multiply from hop to hop.
+// Calls that pass through several nodes. The number of attempts must not multiply with each hop.
 
 #include <doctest/doctest.h>
 
@@ -11,8 +11,8 @@
 
 enum class LeafFault { kNone, kLost, kRefuses };
 
-/// Three nodes in a row. The back end behind each but the last makes one call through the next
-/// node, with the headers a service has to pass on, and answers as that call ended.
+/// A chain of three nodes. The server of each node but the last makes one call through the next
+/// node, with the headers that a service must propagate, and answers with the result of that call.
 class Chain {
  public:
   explicit Chain(LeafFault fault) : fault_(fault) {
@@ -23,7 +23,7 @@
     }
   }
 
-  /// One call of the outermost caller; true when it got a good answer.
+  /// Makes one call to the first node. Returns whether it got a good answer.
   bool call() { return callAt(0, 1); }
 
   std::uint64_t leafAttempts() const { return hops_.back()->statistics().attempts; }
@@ -86,7 +86,7 @@
   for (int hop = 0; hop < kHops; ++hop) CHECK(chain.attemptsAt(hop) == kCalls);
 }
 
-TEST_CASE("a failing leaf sees its own hop's budget and no retries of the hops above") {
+TEST_CASE("a failing leaf only gets the retries of its own hop's budget, none of earlier hops") {
   Chain chain(LeafFault::kLost);
   for (int number = 0; number < kCalls; ++number) CHECK_FALSE(chain.call());
   const Settings settings;
@@ -96,7 +96,7 @@
   CHECK(chain.leafAttempts() > kCalls);
 }
 
-TEST_CASE("a leaf that refuses everything is probed by its own node only") {
+TEST_CASE("a leaf that refuses everything only gets retries of its own node") {
   Chain chain(LeafFault::kRefuses);
   for (int number = 0; number < kCalls; ++number) CHECK_FALSE(chain.call());
   CHECK(chain.attemptsAt(0) == kCalls);
@@ -104,7 +104,7 @@
   CHECK(chain.leafAttempts() <= kCalls * (1 + Settings().retry.free_attempts));
 }
 
-TEST_CASE("a retry at the first hop is not retried again below") {
+TEST_CASE("a request that is a retry of the first hop is not retried by later hops") {
   ProxyFixture proxy;
   proxy.begin(4);
   RequestHead head = ProxyFixture::head("GET", "/stock");
--- a/tests/proxy/examples_test.cpp
+++ b/tests/proxy/examples_test.cpp
@@ -1,4 +1,5 @@
-// The example configurations are valid, and their routes promise what the deployments need.
+// The example configurations are valid, and their routes have the properties that the deployments
+// need.
 
 #include <doctest/doctest.h>
 
@@ -15,7 +16,7 @@
 namespace coursepond::proxy {
 namespace {
 
-/// The file below the repository's examples/, from any working directory inside the repository.
+/// Reads a file in the repository's examples/, from any working directory inside the repository.
 std::string readExample(const std::string& name) {
   std::filesystem::path folder = std::filesystem::current_path();
   while (!std::filesystem::exists(folder / "examples") && folder != folder.root_path()) {
--- a/tests/proxy/flow_property_test.cpp
+++ b/tests/proxy/flow_property_test.cpp
@@ -1,4 +1,4 @@
-// Random sequences of events, checked against what must hold for every request.
+// Random sequences of events, with invariants checked for every request.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -38,11 +38,11 @@
 };
 constexpr int kSteps = static_cast<int>(Step::kNodeCount) + 1;
 
-/// What a request's attempts are known to have done, kept apart from the flow's own notes.
+/// Expected state of a request, recorded independently of the flow's own state.
 struct Ledger {
   std::unique_ptr<TestRequest> request;
   bool repeatable = false;
-  bool may_have_run = false;  ///< An attempt sent bytes and nothing cleared it.
+  bool may_have_run = false;  ///< An attempt sent bytes, and its result is unknown.
   bool may_have_run_before = false;
   std::size_t attempts_seen = 0;
   bool gone = false;
@@ -85,7 +85,7 @@
     check();
   }
 
-  /// Lets all that is left come to its end.
+  /// Lets all remaining requests end and checks the final state.
   void finish() {
     proxy_.environment.advance(seconds(200));
     check();
@@ -121,7 +121,7 @@
     check();
   }
 
-  /// Chooses one request in the phase the step needs, if there is any.
+  /// Applies the step to a request in the phase that it requires, if there is any.
   void runOnRequest(Step step, unsigned number) {
     const bool needs_forwarding = step == Step::kComplete || step == Step::kCut;
     std::vector<Ledger*> fitting;
@@ -163,7 +163,7 @@
       case Step::kRefuseDraining:
         return request.refuse(true);
       case Step::kRefuseDeeper:
-        // Passed on as it is, so it must not follow an attempt that may have run.
+        // Forwarded as "not run", so no earlier attempt may have run.
         request.refuse(false, true);
         if (!request.forwarded.empty()) RC_ASSERT(!ledger.may_have_run);
         return;
@@ -214,14 +214,14 @@
     }
     std::uint32_t in_flight = 0;
     for (const ServerReport& report : proxy_.state.serverReports()) in_flight += report.in_flight;
-    RC_ASSERT(in_flight <= open);  // requests on servers that were delisted aren't reported
+    RC_ASSERT(in_flight <= open);  // Requests on servers that are no longer listed aren't reported.
   }
 
   static void checkRequest(Ledger& ledger) {
     const TestRequest& request = *ledger.request;
     RC_ASSERT(request.answers.size() + request.forwarded.size() <= 1);
     if (request.plans.size() > ledger.attempts_seen) {
-      // A further attempt began: nothing unrepeatable that may have run is among its causes.
+      // A further attempt began. A request that is not repeatable must not have run before.
       RC_ASSERT(ledger.repeatable || !ledger.may_have_run_before);
       ledger.attempts_seen = request.plans.size();
     }
@@ -247,7 +247,7 @@
 
 }  // namespace
 
-TEST_CASE("whatever happens, each request ends once, truthfully, and gives its slot back") {
+TEST_CASE("each request ends once, with a truthful outcome, and releases its slot") {
   rc::detail::TestParams params;
   params.seed = 20261202;
   params.maxSuccess = 2000;
--- a/tests/proxy/policies_test.cpp
+++ b/tests/proxy/policies_test.cpp
@@ -1,4 +1,4 @@
-// The policies that a whole request is too coarse for.
+// Unit tests of the policy classes, for cases that tests of whole requests do not reach.
 
 #include <doctest/doctest.h>
 
@@ -72,7 +72,7 @@
   CHECK(environment.timers() == 0);
 }
 
-TEST_CASE("the queue serves in order and lets one batch request through after the weight") {
+TEST_CASE("the queue serves in order, with one batch request after interactive_weight requests") {
   AdmissionSettings settings;
   settings.interactive_weight = 2;
   AdmissionQueue queue(settings);
@@ -93,7 +93,8 @@
   CHECK(served == expected);
 }
 
-TEST_CASE("batch fills only its part of the queue and makes room for interactive requests") {
+TEST_CASE(
+    "batch requests fill only their part of the queue and are displaced by interactive ones") {
   AdmissionSettings settings;
   AdmissionQueue queue(settings);
   queue.setLimit(4);
@@ -128,7 +129,8 @@
   queue.leave(first);
 }
 
-TEST_CASE("the concurrency limit falls once per burst of refusals and grows back in small steps") {
+TEST_CASE(
+    "the concurrency limit decreases once per burst of refusals and recovers in small steps") {
   ConcurrencySettings settings;
   ConcurrencyLimit limit(20, 4);
   CHECK(limit.value() == 10);
@@ -143,21 +145,21 @@
   CHECK(limit.exactValue() == doctest::Approx(16.3).epsilon(0.01));
 }
 
-TEST_CASE("a report of full load slows the limit's growth and does not stop it") {
+TEST_CASE("a report of full load slows down the growth of the limit but does not stop it") {
   ConcurrencySettings settings;
-  ConcurrencyLimit told_full(20, 4);
-  ConcurrencyLimit told_idle(20, 4);
-  for (ConcurrencyLimit* limit : {&told_full, &told_idle}) {
+  ConcurrencyLimit full_limit(20, 4);
+  ConcurrencyLimit idle_limit(20, 4);
+  for (ConcurrencyLimit* limit : {&full_limit, &idle_limit}) {
     limit->onRefused(10, milliseconds(10), kStart, settings);
     for (int number = 0; number < 80; ++number) {
-      limit->onAnswered(limit->value(), limit == &told_full, settings);
+      limit->onAnswered(limit->value(), limit == &full_limit, settings);
     }
   }
-  CHECK(told_full.exactValue() > 8.5);
-  CHECK(told_full.exactValue() < told_idle.exactValue());
+  CHECK(full_limit.exactValue() > 8.5);
+  CHECK(full_limit.exactValue() < idle_limit.exactValue());
 }
 
-TEST_CASE("a limit below one request becomes a pause between requests") {
+TEST_CASE("a limit below one request causes a pause between requests") {
   ConcurrencySettings settings;
   ConcurrencyLimit limit(1, 50);
   CHECK(limit.pause(milliseconds(10)) == Duration(0));
@@ -170,7 +172,7 @@
   CHECK(limit.pause(milliseconds(10)) == milliseconds(70));
 }
 
-TEST_CASE("connections are divided among the nodes and given back after a refusal") {
+TEST_CASE("connections are divided among the nodes and recover after a refusal") {
   CHECK(ConnectionShare::evenPart(120, 6) == 20);
   CHECK(ConnectionShare::evenPart(120, 500) == 1);
   CHECK(ConnectionShare::evenPart(120, 0) == 120);
@@ -202,7 +204,7 @@
   CHECK_FALSE(budget.take(kStart + seconds(100)));
 }
 
-TEST_CASE("which requests may run twice") {
+TEST_CASE("whether a request may run twice depends on the route's repeatability and the method") {
   CHECK(mayRunTwice(model::Repeatability::kByMethod, "GET"));
   CHECK_FALSE(mayRunTwice(model::Repeatability::kByMethod, "POST"));
   CHECK_FALSE(mayRunTwice(model::Repeatability::kByMethod, "get"));
@@ -210,7 +212,7 @@
   CHECK(mayRunTwice(model::Repeatability::kAlways, "POST"));
 }
 
-TEST_CASE("ejections get longer, are forgiven, and a server is on trial after its return") {
+TEST_CASE("ejections get longer, reset after a healthy time, and are followed by a probation") {
   VirtualEnvironment environment;
   OutlierSettings settings;
   const OutlierDetector detector(settings, environment);
@@ -230,7 +232,7 @@
   CHECK(record.ejections == 0);
 }
 
-TEST_CASE("a server that fails often but not always is ejected by its rate") {
+TEST_CASE("a server that fails often but not always is ejected because of its failure rate") {
   VirtualEnvironment environment;
   OutlierSettings settings;
   const OutlierDetector detector(settings, environment);
@@ -243,7 +245,7 @@
   CHECK(ejected);
 }
 
-TEST_CASE("at most half the servers are ejected, or all but one that take no connections") {
+TEST_CASE("at most half of the servers are ejected, or all but one if they accept no connections") {
   VirtualEnvironment environment;
   OutlierSettings settings;
   const OutlierDetector detector(settings, environment);
@@ -260,7 +262,7 @@
   CHECK_FALSE(detector.mayEject(unreachable, 0, 1));
 }
 
-TEST_CASE("a server is an outlier only beside healthier peers") {
+TEST_CASE("a server is an outlier only if its peers are healthier") {
   VirtualEnvironment environment;
   OutlierSettings settings;
   const OutlierDetector detector(settings, environment);
@@ -276,7 +278,7 @@
   CHECK_FALSE(detector.isOutlier(beginning, beginning.failureRate(kStart) / 2, kStart));
 }
 
-TEST_CASE("a leaving mark ends only with a later live record after the hold") {
+TEST_CASE("a leaving mark is only removed by a newer live record after the hold time") {
   LeavingMarks marks(seconds(30));
   marks.mark(EndpointId("s1"), Generation(5), kStart);
   CHECK(marks.onRecord(endpoint("s1"), Generation(5), kStart + seconds(60)));
@@ -309,7 +311,7 @@
   CHECK(servers.usable().empty());
 }
 
-TEST_CASE("a server under the same id at another address starts cold and unobserved") {
+TEST_CASE("a server with the same id and another address starts cold, with its state reset") {
   Settings settings;
   ServerSet servers(settings);
   model::EndpointSet record{ServiceName("stock"), ZoneId("a"), Generation(1), {endpoint("s1")}};
--- a/tests/proxy/proxy_fixture.h
+++ b/tests/proxy/proxy_fixture.h
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// One request of a test: plays the I/O layer and records what the flow asks of it.
+/// One request of a test. Acts as the I/O layer and records the calls of the flow.
 class TestRequest final : public RequestIo {
  public:
   TestRequest(RequestHead head, ProxyState& state, Environment& environment)
@@ -39,7 +39,7 @@
   std::string server() const { return plans.back().endpoint.id.value(); }
   bool running() const { return !plans.empty() && answers.empty() && forwarded.empty(); }
 
-  /// The server answers with this head.
+  /// Reports an answer of the server with this head.
   void answer(AnswerHead head) { flow.onAnswerHead(attempt(), head); }
   void answerWhole(int status = 200) {
     AnswerHead head;
@@ -67,7 +67,7 @@
   RequestFlow flow;
 };
 
-/// A node of zone "a" with one service "stock", its routes and servers s1, s2, ...
+/// A node in zone "a" with one service "stock", its routes and its servers s1, s2, ...
 class ProxyFixture {
  public:
   explicit ProxyFixture(Settings values = {}, std::uint64_t seed = 1)
@@ -91,7 +91,7 @@
     routes.push_back(route);
   }
 
-  /// Puts the routes and the service in force as `version`.
+  /// Applies the routes and the service as configuration version `version`.
   bool apply(std::uint64_t version = 1) {
     auto snapshot = std::make_shared<model::Snapshot>();
     snapshot->version = Version(version);
@@ -109,7 +109,7 @@
     state.updateEndpoints({service.name, ZoneId("a"), Generation(generation), endpoints});
   }
 
-  /// One version and servers s1 to s`count`.
+  /// Applies the first version and lists servers s1 to s`count`.
   void begin(int count) {
     apply();
     std::vector<model::Endpoint> endpoints;
--- a/tests/proxy/request_flow_test.cpp
+++ b/tests/proxy/request_flow_test.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("a request is routed, sent once and its answer passed on") {
+TEST_CASE("a request is routed and sent once, and its answer is forwarded") {
   ProxyFixture proxy;
   proxy.begin(2);
   const auto request = proxy.get();
@@ -40,7 +40,7 @@
   CHECK(proxy.statistics().answers_forwarded == 1);
 }
 
-TEST_CASE("what cannot be served is refused with a reason") {
+TEST_CASE("a request that cannot be served is refused with a reason") {
   ProxyFixture proxy;
   checkNotRun(*proxy.get(), "no_configuration");
   proxy.apply();
@@ -55,7 +55,7 @@
   CHECK(proxy.get("/stock/..x/.hidden/...")->answers.at(0).status == 503);
 }
 
-TEST_CASE("a request that may not be repeated is sent again only when it surely did not run") {
+TEST_CASE("a request that is not repeatable is only sent again if it certainly did not run") {
   ProxyFixture proxy;
   proxy.begin(3);
   SUBCASE("lost after bytes were sent: unknown, one attempt") {
@@ -64,34 +64,34 @@
     checkUnknown(*request, 502, "connection_lost");
     CHECK(request->plans.size() == 1);
   }
-  SUBCASE("an unreadable answer: unknown, one attempt") {
+  SUBCASE("malformed answer: unknown, one attempt") {
     const auto request = proxy.post();
     request->fail(AttemptFailure::kMalformedAnswer);
     checkUnknown(*request, 502, "malformed_answer");
     CHECK(request->plans.size() == 1);
   }
-  SUBCASE("not connected: another server") {
+  SUBCASE("connection failed: another server") {
     const auto request = proxy.post();
     request->fail(AttemptFailure::kConnectFailed);
     REQUIRE(request->plans.size() == 2);
     CHECK(request->plans[0].endpoint.id != request->plans[1].endpoint.id);
     CHECK(request->plans[1].headers_to_set[0].value == "2");
   }
-  SUBCASE("the server said that it refused: another server") {
+  SUBCASE("refused by the server: another server") {
     const auto request = proxy.post();
     request->refuse();
     REQUIRE(request->plans.size() == 2);
     CHECK(request->plans[0].endpoint.id != request->plans[1].endpoint.id);
     CHECK(request->discarded.size() == 1);
   }
-  SUBCASE("an unsafe method is unrepeatable by default") {
+  SUBCASE("an unsafe method is not repeatable by default") {
     const auto request = proxy.post("/stock");
     request->fail(AttemptFailure::kLostAfterSend);
     CHECK(request->plans.size() == 1);
   }
 }
 
-TEST_CASE("a repeatable request tries other servers up to the attempts allowed") {
+TEST_CASE("a repeatable request is sent to other servers up to max_attempts") {
   ProxyFixture proxy;
   proxy.begin(4);
   const auto request = proxy.get();
@@ -104,24 +104,24 @@
   CHECK(proxy.statistics().retries == 2);
 }
 
-TEST_CASE("a refusal after an attempt that may have run is not passed on as not-run") {
+TEST_CASE("a refusal after an attempt that may have run is not forwarded as not-run") {
   ProxyFixture proxy;
   proxy.service.max_attempts = 2;
   proxy.begin(3);
   const auto request = proxy.get();
   request->fail(AttemptFailure::kLostAfterSend);
-  SUBCASE("of the server") {
+  SUBCASE("refused by the server") {
     while (request->running()) {
       request->refuse();
       proxy.environment.advance(milliseconds(100));
     }
   }
-  SUBCASE("of a deeper node") { request->refuse(false, true); }
+  SUBCASE("refused by a deeper node") { request->refuse(false, true); }
   checkUnknown(*request, 502, "server_refused");
   CHECK(request->forwarded.empty());
 }
 
-TEST_CASE("a refusal by a deeper node is passed on and not retried") {
+TEST_CASE("a refusal by a deeper node is forwarded and not retried") {
   ProxyFixture proxy;
   proxy.begin(3);
   const auto request = proxy.get();
@@ -130,7 +130,7 @@
   CHECK(request->forwarded.size() == 1);
 }
 
-TEST_CASE("a request that is a retry at an earlier hop gets one attempt") {
+TEST_CASE("a request that is a retry of an earlier hop gets one attempt") {
   ProxyFixture proxy;
   proxy.begin(3);
   RequestHead head = ProxyFixture::head("GET", "/stock");
@@ -142,7 +142,7 @@
   checkUnknown(*request, 502, "connection_lost");
 }
 
-TEST_CASE("the retry budget bounds retries, and its end is answered at once") {
+TEST_CASE("the retry budget limits retries, and requests beyond it are answered at once") {
   Settings settings;
   settings.retry.burst = 3;
   settings.retry.floor_per_second = 0;
@@ -160,7 +160,7 @@
   CHECK(proxy.statistics().retries_denied_budget > 0);
 }
 
-TEST_CASE("a connection that was closed before a byte was written costs no budget") {
+TEST_CASE("a connection that was closed before a byte was written is not charged to the budget") {
   Settings settings;
   settings.retry.burst = 0;
   ProxyFixture proxy(settings);
@@ -173,7 +173,7 @@
   CHECK(request->plans.size() == 1 + settings.retry.free_attempts);
 }
 
-TEST_CASE("a body that cannot be sent again ends the request at once") {
+TEST_CASE("a request whose body cannot be replayed is answered at once") {
   ProxyFixture proxy;
   proxy.begin(2);
   const auto request = proxy.get();
@@ -190,7 +190,7 @@
   CHECK(request->plans.size() == 2);
 }
 
-TEST_CASE("a deadline is answered at once, and truthfully") {
+TEST_CASE("a request whose deadline passes is answered at once with the true outcome") {
   ProxyFixture proxy;
   proxy.begin(1);
   RequestHead head = ProxyFixture::head("POST", "/seat");
@@ -216,7 +216,7 @@
     checkNotRun(*request, "deadline");
     CHECK(request->plans.empty());
   }
-  SUBCASE("an answer that comes afterwards changes nothing") {
+  SUBCASE("an answer after the deadline is ignored") {
     const auto request = proxy.send(head);
     proxy.environment.advance(milliseconds(100));
     request->answerWhole();
@@ -227,7 +227,7 @@
   CHECK(proxy.report("s1").in_flight == 0);
 }
 
-TEST_CASE("a process that was paused begins nothing whose deadline has passed") {
+TEST_CASE("after a pause of the process, requests whose deadline has passed are not sent") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 1;
   proxy.begin(1);
@@ -239,7 +239,7 @@
   checkNotRun(*waiting, "deadline");
 }
 
-TEST_CASE("a caller that leaves cancels its request and frees the slot for the next") {
+TEST_CASE("a caller that disconnects cancels its request and frees the slot for the next one") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 1;
   proxy.begin(1);
@@ -257,7 +257,7 @@
   CHECK(proxy.statistics().caller_gone == 2);
 }
 
-TEST_CASE("an answer that breaks off is counted and never retried") {
+TEST_CASE("a truncated answer is counted and never retried") {
   ProxyFixture proxy;
   proxy.begin(2);
   const auto request = proxy.get();
@@ -271,7 +271,7 @@
   CHECK(proxy.state.requestsInFlight() == 0);
 }
 
-TEST_CASE("a planned stop refuses new requests and finishes those it has") {
+TEST_CASE("a planned stop refuses new requests and finishes those in flight") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 1;
   proxy.begin(1);
@@ -286,7 +286,7 @@
   CHECK(proxy.state.requestsInFlight() == 0);
 }
 
-TEST_CASE("a request keeps the snapshot it began with, and no older one comes into force") {
+TEST_CASE("a request keeps the snapshot it started with, and an older snapshot is not applied") {
   ProxyFixture proxy;
   proxy.begin(1);
   const auto request = proxy.get();
@@ -300,7 +300,7 @@
   CHECK(proxy.get()->flow.configurationVersion() == Version(2));
 }
 
-TEST_CASE("a route that goes away while its requests run leaves nothing behind") {
+TEST_CASE("a service that is removed while its requests run leaves no state behind") {
   ProxyFixture proxy;
   proxy.begin(1);
   const auto request = proxy.get();
@@ -313,7 +313,7 @@
   CHECK(proxy.state.requestsInFlight() == 0);
 }
 
-TEST_CASE("secrets, attempt and batch priority go to the server") {
+TEST_CASE("secrets, attempt number and batch priority are sent to the server") {
   ProxyFixture proxy;
   proxy.secrets[SecretName("key")] = model::SecretValue("hidden");
   proxy.routes[2].secrets = {{SecretName("key"), "X-Key"}};
--- a/tests/proxy/retry_accounts_test.cpp
+++ b/tests/proxy/retry_accounts_test.cpp
@@ -13,7 +13,7 @@
 const ServiceName kStock("stock");
 const ServiceName kPrices("prices");
 
-/// Accounts of a node among `nodes`, with a ratio of 0.15 and a burst of 45.
+/// Retry accounts of one of `nodes` nodes, with a ratio of 0.15 and a burst of 45.
 struct AccountsFixture {
   explicit AccountsFixture(std::size_t nodes) : retries(environment) { retries.setNodes(nodes); }
 
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-TEST_CASE("a node repeats a ratio of its first attempts and its part of the burst") {
+TEST_CASE("a node may repeat a ratio of its first attempts plus its share of the burst") {
   AccountsFixture node(15);
   CHECK(node.take(kStock, 10) == 0);  // Nothing is earned yet.
   node.earn(kStock, 1000);
@@ -48,9 +48,9 @@
   CHECK(node.take(kStock, 10) == 3);
 }
 
-TEST_CASE("nodes that are many repeat too, and all together within the burst") {
-  // A part of the burst below one never let a node repeat anything: with 45 in a mesh of 67 nodes
-  // no lost answer was made good.
+TEST_CASE("nodes whose share of the burst is below one still repeat, in total within the burst") {
+  // Guards against nodes that can never repeat because their share of the burst is below one token.
+  // With a burst of 45 in a mesh of 67 nodes, no request whose answer was lost was repeated.
   constexpr int kNodes = 300;
   int taken = 0;
   for (int number = 0; number < kNodes; ++number) {
@@ -66,23 +66,23 @@
   CHECK(taken <= 62);
 }
 
-TEST_CASE("entries that lapse do not enlarge a node's part of the burst") {
-  // The burst was divided by the servers listed now. When entries lapsed on all nodes at once,
-  // their parts added up to several times the burst.
+TEST_CASE("entries that lapse do not increase a node's share of the burst") {
+  // Guards against dividing the burst by the servers that are listed right now. When entries lapse
+  // on all nodes at once, their shares would add up to several times the burst.
   AccountsFixture node(15);
   node.retries.setNodes(1);
   node.environment.advance(seconds(20));
   node.retries.setNodes(1);
   node.earn(kStock, 1000);
   CHECK(node.left(kStock) == doctest::Approx(3));
-  // What stands for longer is the truth.
+  // A smaller number takes effect after 30 s.
   node.environment.advance(seconds(11));
   node.retries.setNodes(5);
   node.earn(kStock, 1000);
   CHECK(node.left(kStock) == doctest::Approx(9));
 }
 
-TEST_CASE("a node that knows no other yet does not take the burst for its own") {
+TEST_CASE("a node that does not know the number of nodes yet has no share of the burst") {
   AccountsFixture node(0);
   node.earn(kStock, 1000);
   CHECK(node.take(kStock, 10) == 0);
@@ -91,7 +91,7 @@
   CHECK(node.take(kStock, 10) == 3);
 }
 
-TEST_CASE("settings that change before any node is known give no part of the burst either") {
+TEST_CASE("a change of settings before any node is known gives no share of the burst") {
   AccountsFixture node(0);
   node.earn(kStock, 100);
   node.retries.changeSettings({.ratio = 1, .burst = 5});
@@ -99,7 +99,7 @@
   CHECK(node.left(kStock) == 0);
 }
 
-TEST_CASE("an outage between two lists does not count as a smaller number that stood") {
+TEST_CASE("two short periods with fewer nodes do not count as one long period") {
   AccountsFixture node(15);
   node.retries.setNodes(1);
   node.environment.advance(seconds(20));
@@ -110,7 +110,7 @@
   CHECK(node.left(kStock) == doctest::Approx(3));
 }
 
-TEST_CASE("a changed allowance holds from then on") {
+TEST_CASE("a changed allowance takes effect at once") {
   AccountsFixture node(1);
   node.earn(kStock, 100);
   node.retries.changeSettings({.ratio = 1, .burst = 5});
@@ -120,14 +120,14 @@
   CHECK(node.take(kStock, 10) == 2);
 }
 
-TEST_CASE("repeats of little use leave half of the part to the others") {
+TEST_CASE("less useful repeats leave half of the share to others") {
   AccountsFixture node(10);
   node.earn(kStock, 1000);
   CHECK(node.take(kStock, 10, RepeatUse::kHalf) == 2);
   CHECK(node.take(kStock, 10, RepeatUse::kAll) == 2);
 }
 
-TEST_CASE("a call of a repeated run is charged and earns nothing, that of another run earns") {
+TEST_CASE("a call of a repeated run is charged, and a call of another run adds to the budget") {
   AccountsFixture node(1);
   node.earn(kPrices, 100);
   ServerRun first{.request = "r1"};
@@ -143,11 +143,11 @@
   CHECK(node.left(kPrices) == doctest::Approx(before + 0.15 - 1));
   node.retries.remove(first);
   node.retries.remove(again);
-  // Neither runs any more.
+  // Neither run is active any more.
   CHECK(node.retries.onFirstAttempt(kPrices, "r2.9") == 0);
 }
 
-TEST_CASE("where calls do not name their parent, they are charged by the part that repeats have") {
+TEST_CASE("calls that do not name their parent are charged by the fraction of repeated runs") {
   AccountsFixture node(1);
   for (int number = 0; number < 100; ++number) {
     ServerRun run{.request = "earlier"};
@@ -170,9 +170,9 @@
 }
 
 TEST_CASE(
-    "a node whose server makes no calls learns from the calls it receives that they are known") {
-  // Otherwise what callers send from the same machine was charged as if its server's repeated runs
-  // had sent it.
+    "a node whose server makes no calls learns from received calls that calls are identified") {
+  // Guards against requests of callers on the same machine being charged as if repeated runs of its
+  // server had sent them.
   AccountsFixture node(1);
   ServerRun call{.request = "r1.1", .is_call = true};
   REQUIRE(node.retries.admit(call));
@@ -184,7 +184,7 @@
   node.retries.remove(again);
 }
 
-TEST_CASE("of two runs of one request, the one that ends is forgotten") {
+TEST_CASE("of two runs of the same request, only the one that ends is removed") {
   AccountsFixture node(1);
   ServerRun first{.request = "r1"};
   ServerRun second{.request = "r1", .repeat_share = 1};
--- a/tests/proxy/route_table_test.cpp
+++ b/tests/proxy/route_table_test.cpp
@@ -42,7 +42,7 @@
   CHECK(found(routes, request("h", "*")) == "none");
 }
 
-TEST_CASE("the host goes before the longer prefix, and any host is the last resort") {
+TEST_CASE("a specific host takes precedence over a longer prefix for any host") {
   const std::vector<model::Route> routes = {route("any", "", "/a/b/c"), route("host", "h", "/a"),
                                             route("root", "", "/")};
   CHECK(found(routes, request("h", "/a/b/c")) == "host");
@@ -50,7 +50,7 @@
   CHECK(found(routes, request("h", "/x")) == "root");
 }
 
-TEST_CASE("of one host the longest prefix wins") {
+TEST_CASE("for the same host, the longest prefix takes precedence") {
   const std::vector<model::Route> routes = {route("root", "", "/"), route("a", "", "/a"),
                                             route("ab", "", "/a/b")};
   CHECK(found(routes, request("", "/a/b/x")) == "ab");
@@ -58,7 +58,7 @@
   CHECK(found(routes, request("", "/" + std::string(100000, '/'))) == "root");
 }
 
-TEST_CASE("methods go before headers, headers before none, then the name") {
+TEST_CASE("routes with methods take precedence over those with headers, then the name decides") {
   std::vector<model::Route> routes = {route("z-plain", "", "/a"), route("y-header", "", "/a"),
                                       route("x-method", "", "/a"), route("b-plain", "", "/a")};
   routes[1].match.headers = {{"X-Tier", "gold"}};
@@ -71,7 +71,7 @@
   CHECK(found(routes, head) == "x-method");
 }
 
-TEST_CASE("a route that matches in part gives way to a shorter prefix that matches whole") {
+TEST_CASE("a shorter prefix is used if the route with the longer one does not match completely") {
   std::vector<model::Route> routes = {route("write", "", "/a/b"), route("all", "", "/a")};
   routes[0].match.methods = {"POST"};
   CHECK(found(routes, request("", "/a/b")) == "all");
--- a/tests/proxy/service_test.cpp
+++ b/tests/proxy/service_test.cpp
@@ -1,4 +1,4 @@
-// Admission, balancing, ejection and drain, seen through whole requests.
+// Admission, balancing, ejection and drain, tested with whole requests.
 
 #include <doctest/doctest.h>
 
@@ -19,7 +19,8 @@
   return head;
 }
 
-/// Sends `count` requests one after the other, each answered after `latency_of` its server.
+/// Sends `count` requests one after the other. Each is answered after the `latency_of` its server.
+/// Returns the number of requests per server.
 template <typename LatencyOf>
 std::map<std::string, int> shares(ProxyFixture& proxy, int count, const LatencyOf& latency_of) {
   std::map<std::string, int> shares;
@@ -34,7 +35,7 @@
 
 }  // namespace
 
-TEST_CASE("requests beyond the slots wait in order, in bounds, and are told when to come back") {
+TEST_CASE("requests beyond the slots wait in order, and those beyond the queue get Retry-After") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 2;
   proxy.service.queue_limit = 3;
@@ -57,7 +58,7 @@
   CHECK(proxy.statistics().refused_queue_full == 1);
 }
 
-TEST_CASE("a wait ends at the settings' limit, and at once when it cannot end in time") {
+TEST_CASE("a wait ends at longest_wait, and a request that cannot be served in time is refused") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 1;
   proxy.service.queue_limit = 100;
@@ -97,7 +98,7 @@
   CHECK(proxy.statistics().shed_batch == 2);
 }
 
-TEST_CASE("a queue without any server left is answered at once") {
+TEST_CASE("queued requests are refused at once when no server is left") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 1;
   proxy.begin(1);
@@ -110,7 +111,7 @@
   CHECK(running->forwarded.size() == 1);
 }
 
-TEST_CASE("a server that says it drains gets nothing new, and its refusal is retried for free") {
+TEST_CASE("a draining server gets no new requests, and its refusal is not charged to the budget") {
   Settings settings;
   settings.retry.burst = 0;
   ProxyFixture proxy(settings);
@@ -128,7 +129,7 @@
   }
 }
 
-TEST_CASE("a slow server gets less, is tried again, and recovers its share") {
+TEST_CASE("a slow server gets fewer requests, is tried again, and recovers its share") {
   ProxyFixture proxy;
   proxy.begin(2);
   auto before = shares(proxy, 400, [](const std::string& server) {
@@ -136,13 +137,13 @@
   });
   CHECK(before["s1"] < 40);
   CHECK(before["s1"] >= 1);
-  // Ten times slower takes about seven half-lives to come within the tolerance of the balancer.
+  // A tenfold latency takes about seven half-lives until it is within the balancer's tolerance.
   proxy.environment.advance(8 * Settings().balancer.latency_half_life);
   auto after = shares(proxy, 400, [](const std::string&) { return milliseconds(5); });
   CHECK(after["s1"] > 100);
 }
 
-TEST_CASE("a lying load report moves no traffic") {
+TEST_CASE("a wrong load report does not shift traffic") {
   ProxyFixture proxy;
   proxy.begin(2);
   std::map<std::string, int> taken;
@@ -163,7 +164,7 @@
   CHECK(taken["s1"] < 600);
 }
 
-TEST_CASE("a new server is eased in") {
+TEST_CASE("a new server gets its full share only after slow start") {
   ProxyFixture proxy;
   proxy.begin(2);
   shares(proxy, 100, [](const std::string&) { return milliseconds(5); });
@@ -176,11 +177,11 @@
   CHECK(warm["s3"] > 60);
 }
 
-TEST_CASE("a failing server is ejected and comes back; the floor keeps the rest in use") {
+TEST_CASE("a failing server is ejected and returns, and the last usable server is not ejected") {
   ProxyFixture proxy;
   proxy.begin(2);
-  // s1 always fails; then s2 fails too and must stay in use. The balancer avoids s1 after its
-  // first failure, so that it takes a while until there are enough for an ejection.
+  // s1 always fails. Then s2 fails, too, and must stay in use. The balancer avoids s1 after its
+  // first failure, so it takes a while until there are enough failures for an ejection.
   for (int number = 0; number < 1000 && proxy.statistics().ejections == 0; ++number) {
     const auto request = proxy.post();
     if (request->server() == "s1") {
@@ -203,7 +204,7 @@
   CHECK_FALSE(proxy.report("s1").ejected);
 }
 
-TEST_CASE("servers that take no connections are ejected past the floor, one is always kept") {
+TEST_CASE("servers that accept no connections are ejected beyond the limit, but one is kept") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 8;
   proxy.service.queue_limit = 100;
@@ -219,14 +220,14 @@
   CHECK_FALSE(proxy.report("s1").ejected);
   for (int round = 0; round < 20 && proxy.state.requestsInFlight() > 0; ++round) {
     for (const auto& request : requests) {
-      if (request->running()) request->answerWhole();  // ignored while it waits
+      if (request->running()) request->answerWhole();  // Ignored while the request waits.
     }
     proxy.environment.advance(milliseconds(10));
   }
   CHECK(proxy.state.requestsInFlight() == 0);
 }
 
-TEST_CASE("when all servers fail alike none is ejected") {
+TEST_CASE("servers that all fail alike are not ejected") {
   ProxyFixture proxy;
   proxy.begin(4);
   for (int number = 0; number < 400; ++number) {
@@ -237,7 +238,7 @@
   CHECK(proxy.statistics().ejections <= 1);
 }
 
-TEST_CASE("a deeper node's failure is not held against the server that passed it on") {
+TEST_CASE("an error of a deeper node does not count as a failure of the server that forwarded it") {
   ProxyFixture proxy;
   proxy.begin(2);
   for (int number = 0; number < 50; ++number) {
@@ -251,7 +252,7 @@
   CHECK(proxy.statistics().ejections == 0);
 }
 
-TEST_CASE("when every server in use is ejected, they are used all the same") {
+TEST_CASE("ejected servers are used if all servers are ejected") {
   ProxyFixture proxy;
   proxy.begin(4);
   ServiceState& service = *proxy.state.parts().service(proxy.service.name);
@@ -261,7 +262,7 @@
   CHECK(proxy.get()->plans.size() == 1);
 }
 
-TEST_CASE("a server that refuses is given fewer requests until it takes them again") {
+TEST_CASE("a server that refuses gets fewer requests until it accepts them again") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 8;
   proxy.service.retry_budget_percent = 100;
@@ -269,7 +270,7 @@
   Requests requests;
   for (int number = 0; number < 8; ++number) requests.push_back(proxy.get());
   requests[7]->refuse();
-  CHECK(requests[7]->answers.empty());  // waits for a slot instead
+  CHECK(requests[7]->answers.empty());  // It waits for a slot instead.
   CHECK(proxy.report("s1").concurrency_limit == doctest::Approx(6.4));
   for (int number = 0; number < 2; ++number) requests[number]->answerWhole();
   CHECK(requests[7]->plans.size() == 1);
@@ -278,7 +279,7 @@
   CHECK(requests[7]->plans.size() == 2);
 }
 
-TEST_CASE("a server's connections bound the requests on it") {
+TEST_CASE("the number of connections to a server limits the requests on it") {
   ProxyFixture proxy;
   proxy.service.slots_per_server = 20;
   proxy.service.connections_per_server = 12;
