--- a/src/admission/suspect_gossip.h
+++ b/src/admission/suspect_gossip.h
@@ -43,8 +43,8 @@
   /// Number of nodes that a change is sent to at once. With three, 95% of the nodes learn of it in
   /// the first wave.
   std::size_t fan_out = 3;
-  /// A round that is late by more than this was delayed by a pause of the whole process, which may
-  /// have missed a lot.
+  /// A round that is late by more than this means that the whole process was paused. It may have
+  /// missed many changes and exchanges with `fan_out` nodes at once.
   Duration pause_threshold = std::chrono::milliseconds(700);
 };
 
--- a/src/proxy/outlier_detector.h
+++ b/src/proxy/outlier_detector.h
@@ -44,9 +44,9 @@
   /// outlier.
   bool isOutlier(const OutlierRecord& record, double peer_failure_rate, TimePoint now) const;
 
-  /// Returns whether one more of `usable` servers may be ejected if `ejected` already are. At most
-  /// the largest ejected part may be, or all but one if the server accepts no connections, because
-  /// it serves no requests anyway.
+  /// Returns whether one more of `usable` servers may be ejected if `ejected` already are. The
+  /// limit is `largest_ejected_part`, or all but one server if this one accepts no connections and
+  /// so serves no requests anyway.
   bool mayEject(const OutlierRecord& record, std::size_t ejected, std::size_t usable) const;
 
   bool acceptsNoConnections(const OutlierRecord& record) const {
--- a/src/proxy/retry_accounts.h
+++ b/src/proxy/retry_accounts.h
@@ -142,7 +142,7 @@
   RetryAllowanceSettings settings_;
   std::size_t nodes_ = 0;  ///< Zero if not known yet; this node's share of the burst is then zero.
   TimePoint fewer_nodes_since_;   ///< Valid while `has_fewer_nodes_`.
-  bool has_fewer_nodes_ = false;  ///< setNodes() was last called with less than `nodes_`.
+  bool has_fewer_nodes_ = false;  ///< setNodes() was last called with fewer nodes than `nodes_`.
   std::map<ServiceName, RetryAccount> accounts_;
   CallProfile profile_;
   std::unordered_multimap<std::string, ServerRun*> runs_;  ///< By request id.
--- a/src/proxy/retry_allowance.h
+++ b/src/proxy/retry_allowance.h
@@ -25,8 +25,8 @@
 
   /// Takes `cost` repeats if the fraction `reserved_share` of this node's share of the burst is
   /// left afterwards, or if the budget is full. If the share is smaller than the cost, as with many
-  /// nodes, the available tokens are used up and the request succeeds with a probability of tokens
-  /// / cost. So all nodes together still make the repeats that their shares add up to. `draw` is a
+  /// nodes, the available tokens are used up and the call succeeds with the probability `available
+  /// / cost`. So all nodes together still make the repeats that their shares add up to. `draw` is a
   /// uniform random number from 0 to 1.
   bool take(double cost, double reserved_share, double draw) {
     if (cost <= 0) return true;
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -48,11 +48,10 @@
   std::uint32_t consecutive_failures = 5;
   /// Failure rate (moving average over about 20 answers) that ejects a server, too.
   double failure_rate = 0.5;
-  /// A server is an outlier only if its failure rate is at least this many times the average of its
-  /// peers, and
+  /// An outlier's failure rate is at least this many times the average of its peers.
   double peer_factor = 1.5;
-  /// exceeds that average by at least this much. When failures begin, all rates are small and
-  /// differ by chance.
+  /// An outlier's failure rate also exceeds that average by at least this much, since all rates are
+  /// small and differ by chance when failures begin. Not required during probation.
   double peer_margin = 0.2;
   /// Backoff after each failed connection, from the second consecutive one on.
   Duration connect_backoff = std::chrono::milliseconds(50);
