--- a/tests/admission/quota_fleet_test.cpp
+++ b/tests/admission/quota_fleet_test.cpp
@@ -256,7 +256,7 @@
 // just as a tenant with a full bucket starts to send six times its usual load, both sides could
 // otherwise exceed the quota: 3,496 requests in five seconds where 3,470 were allowed
 // (lower-quota-in-burst, seed 7308, with 63 machines).
-TEST_CASE("a full bucket, tokens lent ahead and a network partition stay within the quota") {
+TEST_CASE("a full bucket, tokens lent ahead and a cut at once stay within the quota") {
   for (const std::size_t cut : {kNodes / 3, kNodes / 2, 2 * kNodes / 3}) {
     for (const std::uint32_t burst : {0U, 460U}) {
       CAPTURE(cut);
