--- a/src/node/two_hop_metrics.cpp
+++ b/src/node/two_hop_metrics.cpp
@@ -175,9 +175,10 @@
     });
   };
   add("relay_source_reads_total", "Reads of the source by this node.", &S::source_reads);
-  add("relay_source_failures_total", "Reads of the source that failed.", &S::source_failures);
+  add("relay_source_failures_total", "Failed reads of the source by this node.",
+      &S::source_failures);
   add("relay_peer_reads_total", "Requests to nodes that read the source.", &S::peer_reads);
-  add("relay_peer_failures_total", "Requests to nodes that read the source that failed.",
+  add("relay_peer_failures_total", "Failed requests to nodes that read the source.",
       &S::peer_failures);
   table.addGauge("relay_reads_source",
                  "1 while this node reads the source for other nodes, else 0.",
--- a/src/node/two_hop_node.cpp
+++ b/src/node/two_hop_node.cpp
@@ -208,7 +208,7 @@
   void applyDrainedZones();
   void onServers(const source::ServerChanges& changes);
   void forgetLapsedServers();
-  void updateOwnServer();
+  void updateLocalServer();
   void fetchServerHealth();
   void onWatchFailed(source::Topic topic, const Error& error);
   void onPeerState(source::Topic topic, const source::StateUpdate& update);
@@ -252,7 +252,7 @@
   RequestHistograms histograms_;
   runtime::MetricTable metrics_;
   std::unique_ptr<AdminServer> admin_;
-  std::optional<model::ServerEntry> own_server_;
+  std::optional<model::ServerEntry> local_server_;
   TimerId lapse_timer_ = 0;
   bool stopping_ = false;
   int draining_servers_ = 0;
@@ -553,14 +553,14 @@
   const TimePoint now = environment_.now();
   const std::optional<TimePoint> next = egress_.directory().forgetLapsed(now);
   egress_.onDirectoryChanged();
-  updateOwnServer();
+  updateLocalServer();
   if (next) lapse_timer_ = environment_.schedule(*next - now, [this] { forgetLapsedServers(); });
 }
 
 /// Selects the newest entry at this machine's server address. If the current server is no longer
 /// listed, it is treated as leaving; an older entry that is still listed belongs to a server that
 /// crashed before it started.
-void Implementation::updateOwnServer() {
+void Implementation::updateLocalServer() {
   std::optional<model::ServerEntry> newest;
   for (const auto& [id, server] : egress_.directory().all()) {
     const model::ServerEntry& entry = server->entry;
@@ -568,13 +568,13 @@
     if (entry.service != settings_.two_hop.service) continue;
     if (!newest || isNewerAtAddress(entry, *newest)) newest = entry;
   }
-  const bool is_older = newest && own_server_ && isNewerAtAddress(*own_server_, *newest);
+  const bool is_older = newest && local_server_ && isNewerAtAddress(*local_server_, *newest);
   if (newest && !is_older) {
-    own_server_ = newest;
-  } else if (own_server_) {
-    own_server_->state = model::MachineState::kLeaving;
+    local_server_ = newest;
+  } else if (local_server_) {
+    local_server_->state = model::MachineState::kLeaving;
   }
-  ingress_.setServer(own_server_);
+  ingress_.setServer(local_server_);
 }
 
 void Implementation::fetchServerHealth() {
@@ -667,7 +667,7 @@
   page += reason.empty() ? "ready\n" : "not ready: " + reason + "\n";
   page += "version in force: " + std::to_string(egress_.version().value()) + "\n";
   page += "servers known: " + std::to_string(egress_.directory().all().size()) + "\n";
-  page += "own server: " + (own_server_ ? own_server_->id.value() : std::string("none")) + "\n";
+  page += "own server: " + (local_server_ ? local_server_->id.value() : std::string("none")) + "\n";
   return page;
 }
 
--- a/tests/node/crash_bound_test.cpp
+++ b/tests/node/crash_bound_test.cpp
@@ -2,19 +2,15 @@
 
 #include "support/simulated_mesh.h"
 
-// The story of the failure. Callers of a catalogue saw most of their requests refused or failed for
-// minutes. The operator's record showed one request, sent again and again through different nodes,
-// under which 15 servers of the service ended; after the third it still reached servers 11 times.
-// Order of events: a server ends under a request, and with it up to 18 that ran beside; the egress
-// takes that for one more lost answer and sends the request to a second server, which ends too; the
-// caller gets a failure and sends the request again through another node. Cause: what was learned
-// of a request ended with its id. An egress knew the attempts of one try, an ingress the server's
-// losses but not whose; no node knew that two tries are the same request, or what another node had
-// seen. Evidence: the day's logs show 13 starts of four servers in 12 s, each with connections lost
-// for all that ran at the same millisecond, and `connection_lost` followed by a further attempt on
-// requests of all nodes. With fingerprints in the lines, in a run of real processes, one of them
-// stands under each of the ends of a wave, and the up to 12 beside it under one end each. In this
-// mesh, without the mend: 72, 53 and 33 ends in 60 s with the request sent each 0.3, 0.9 and 2.5 s.
+// Guards against a request that crashes one server after another.
+//
+// A request ends the server it runs on, together with up to 18 requests that run beside it. The
+// egress takes this for a lost answer and sends the request to a second server, which ends too. The
+// caller gets an error and sends the request again through another node. As long as nodes remember
+// only the attempts of one request id, no node notices that these are the same request, and it
+// keeps reaching servers: an egress knows the attempts of one try, and an ingress knows that its
+// server lost requests but not which of them caused it. Nodes therefore record requests by
+// fingerprint and share the server ends seen under each fingerprint.
 
 namespace coursepond::testing {
 namespace {
@@ -22,10 +18,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// After the third end, all nodes are to know within this.
-constexpr Duration kSettled = seconds(3);
-/// Of a request that is known to crash servers, so many may still reach one.
-constexpr std::size_t kMostOnceKnown = 3;
+/// Time within which all nodes must know of the suspect after the third server end.
+constexpr Duration kPropagationTime = seconds(3);
+/// Number of arrivals at servers allowed for a request that is known to crash them.
+constexpr std::size_t kMaxArrivalsOnceKnown = 3;
 
 std::vector<ServiceModel> threeServices() {
   return {{.name = "catalog", .servers = 4, .work = milliseconds(100)},
@@ -33,16 +29,16 @@
           {.name = "fonts", .servers = 4, .work = milliseconds(100)}};
 }
 
-/// The first four nodes have a server of the catalogue.
+/// Number of nodes with a server of "catalog"; they are the first ones.
 constexpr std::size_t kCatalogNodes = 4;
 
-int unserved(SimulatedMesh& mesh) {
+int failedRequests(SimulatedMesh& mesh) {
   return mesh.answered(500) + mesh.answered(502) + mesh.answered(503) + mesh.answered(504);
 }
 
 }  // namespace
 
-TEST_CASE("a request that crashes servers reaches few of them once that is known") {
+TEST_CASE("a request known to crash servers reaches few further servers") {
   for (const Duration gap : {milliseconds(300), milliseconds(900), milliseconds(2500)}) {
     CAPTURE(gap.count());
     SimulatedMesh mesh(threeServices(), 41);
@@ -54,11 +50,11 @@
     const CrashRecord& record = mesh.crashRecord("catalog");
     CAPTURE(record.crashes.size());
     CHECK(record.crashes.size() >= 3);
-    CHECK(record.arrivalsOnceKnown(kSettled) <= kMostOnceKnown);
+    CHECK(record.arrivalsOnceKnown(kPropagationTime) <= kMaxArrivalsOnceKnown);
   }
 }
 
-TEST_CASE("two such requests, of two services, are each held back") {
+TEST_CASE("crashing requests of two services are both kept from servers") {
   SimulatedMesh mesh(threeServices(), 42);
   mesh.load("catalog", 120);
   mesh.load("fonts", 60);
@@ -68,11 +64,11 @@
   mesh.run(seconds(60));
   for (const std::string service : {"catalog", "fonts"}) {
     CAPTURE(service);
-    CHECK(mesh.crashRecord(service).arrivalsOnceKnown(kSettled) <= kMostOnceKnown);
+    CHECK(mesh.crashRecord(service).arrivalsOnceKnown(kPropagationTime) <= kMaxArrivalsOnceKnown);
   }
 }
 
-TEST_CASE("its callers are told at once that it has not run, and when to come back") {
+TEST_CASE("callers of a known crashing request get 503 instead of failed attempts") {
   SimulatedMesh mesh(threeServices(), 43);
   mesh.run(seconds(4));
   mesh.loadCrashing("catalog", milliseconds(400));
@@ -82,55 +78,55 @@
   CHECK(mesh.crashingAnswered(502) <= 6);
 }
 
-TEST_CASE("a popular request that runs beside the one that crashes servers is served on") {
+TEST_CASE("a popular request that runs beside a crashing one is still served") {
   SimulatedMesh mesh(threeServices(), 44);
   mesh.load("catalog", 120, /*alike=*/true);
   mesh.run(seconds(4));
   mesh.loadCrashing("catalog", milliseconds(300));
   mesh.run(seconds(20));
-  const int unserved_before = unserved(mesh);
+  const int failed_before = failedRequests(mesh);
   const int served_before = mesh.answered(200);
-  // By now the guilty one is held back, but for its second trial.
+  // By now the crashing request is refused, except for its second trial.
   mesh.run(seconds(20));
   CHECK(mesh.answered(200) - served_before > 2300);
-  CHECK(unserved(mesh) - unserved_before < 60);
+  CHECK(failedRequests(mesh) - failed_before < 60);
   const RequestFingerprint popular = SimulatedMesh::fingerprintOfAlike("catalog");
   for (std::size_t node = 0; node < mesh.nodes(); ++node) {
     CHECK(mesh.suspects(node).ends(popular) < 2);
   }
 }
 
-TEST_CASE("a popular request is served soon after all its servers went at the same moment") {
+TEST_CASE("a popular request is served again soon after all its servers ended at once") {
   SimulatedMesh mesh(threeServices(), 45);
   mesh.load("catalog", 120, /*alike=*/true);
   mesh.run(seconds(4));
   for (std::size_t node = 0; node < kCatalogNodes; ++node) mesh.crashServer(node);
   mesh.run(SimulatedMesh::kServerAway + seconds(2));
   const int served_before = mesh.answered(200);
-  const int unserved_before = unserved(mesh);
+  const int failed_before = failedRequests(mesh);
   mesh.run(seconds(5));
   CHECK(mesh.answered(200) - served_before > 590);
-  CHECK(unserved(mesh) - unserved_before == 0);
+  CHECK(failedRequests(mesh) - failed_before == 0);
 }
 
-TEST_CASE("nodes that could not know send it no further once they hear") {
+TEST_CASE("nodes that missed the gossip stop sending a crashing request once they learn of it") {
   SimulatedMesh mesh(threeServices(), 46);
   mesh.load("catalog", 120);
   mesh.run(seconds(4));
-  // Two egresses that are cut off from the gossip; the ingresses know.
+  // Two egresses are cut off from the gossip, while the ingresses receive it.
   mesh.cutGossip(10, true);
   mesh.cutGossip(11, true);
   mesh.loadCrashing("catalog", milliseconds(400));
   mesh.run(seconds(30));
-  CHECK(mesh.crashRecord("catalog").arrivalsOnceKnown(kSettled) <= kMostOnceKnown);
+  CHECK(mesh.crashRecord("catalog").arrivalsOnceKnown(kPropagationTime) <= kMaxArrivalsOnceKnown);
   mesh.cutGossip(10, false);
-  mesh.run(kSettled);
+  mesh.run(kPropagationTime);
   const RequestFingerprint crashing = SimulatedMesh::fingerprintOfPath("/catalog/crash");
   CHECK(mesh.suspects(10).ends(crashing) >= 3);
   CHECK(mesh.suspects(11).ends(crashing) == 0);
 }
 
-TEST_CASE("nodes that start anew learn of it from the others") {
+TEST_CASE("restarted nodes learn of a crashing request from the other nodes") {
   SimulatedMesh mesh(threeServices(), 47);
   mesh.load("catalog", 120);
   mesh.run(seconds(4));
@@ -140,10 +136,10 @@
   mesh.run(seconds(10));
   for (std::size_t node = 1; node < mesh.nodes(); node += 2) mesh.restart(node);
   mesh.run(seconds(30));
-  CHECK(mesh.crashRecord("catalog").arrivalsOnceKnown(kSettled) <= kMostOnceKnown);
+  CHECK(mesh.crashRecord("catalog").arrivalsOnceKnown(kPropagationTime) <= kMaxArrivalsOnceKnown);
 }
 
-TEST_CASE("servers that lose answers without ending put nothing under suspicion") {
+TEST_CASE("answers lost without a server end create no crash suspect") {
   SimulatedMesh mesh(threeServices(), 48);
   mesh.load("catalog", 120, /*alike=*/true);
   mesh.run(seconds(4));
@@ -155,7 +151,8 @@
   }
 }
 
-TEST_CASE("sixty nodes, callers that send it twenty times a second, and servers that go besides") {
+TEST_CASE(
+    "a crashing request sent 20 times a second to 60 nodes, with unrelated restarts and crashes") {
   for (const std::uint64_t seed : {51, 52, 53}) {
     CAPTURE(seed);
     SimulatedMesh mesh({{.name = "catalog", .servers = 30, .work = milliseconds(100)},
@@ -167,13 +164,13 @@
     mesh.loadCrashing("catalog", milliseconds(50));
     for (int round = 0; round < 10; ++round) {
       mesh.run(seconds(5));
-      // Nodes and servers of both services that have nothing to do with it.
+      // Unrelated restarts of nodes and crashes of servers, of both services.
       mesh.restart(static_cast<std::size_t>(round) * 5);
       mesh.crashServer(static_cast<std::size_t>(round) * 6 + 1);
     }
     const CrashRecord& record = mesh.crashRecord("catalog");
     CAPTURE(record.crashes.size());
-    CHECK(record.arrivalsOnceKnown(kSettled) <= kMostOnceKnown);
+    CHECK(record.arrivalsOnceKnown(kPropagationTime) <= kMaxArrivalsOnceKnown);
   }
 }
 
--- a/tests/node/decision_fold_test.cpp
+++ b/tests/node/decision_fold_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("the first decisions of a second have lines, the others are counted by what they are") {
+TEST_CASE("decisions over the limit of a second are counted by side, kind and reason") {
   DecisionFold fold(3);
   int lines = 0;
   for (int number = 0; number < 10; ++number) {
@@ -32,7 +32,7 @@
   CHECK(folded[1].side == proxy::kIngressSide);
 }
 
-TEST_CASE("each second begins anew") {
+TEST_CASE("the limit and the counts restart every second") {
   DecisionFold fold(1);
   CHECK(fold.admit(makeDecision(proxy::kEgressSide, "no_server")));
   CHECK_FALSE(fold.admit(makeDecision(proxy::kEgressSide, "no_server")));
--- a/tests/node/node_metrics_test.cpp
+++ b/tests/node/node_metrics_test.cpp
@@ -48,27 +48,27 @@
   return sources;
 }
 
-bool holds(const std::string& text, const std::string& line) {
+bool containsLine(const std::string& text, const std::string& line) {
   return text.find(line + "\n") != std::string::npos;
 }
 
 }  // namespace
 
-TEST_CASE("counters of every part are on /metrics") {
+TEST_CASE("/metrics contains the counters of every component") {
   const std::string text = makeNodeMetrics(fixedSources()).exposition();
-  CHECK(holds(text, "coursepond_ready 1"));
-  CHECK(holds(text, "coursepond_configuration_version_in_force 7"));
-  CHECK(holds(text, "coursepond_role{role=\"voter\"} 1"));
-  CHECK(holds(text, "coursepond_role{role=\"source_reader\"} 0"));
-  CHECK(holds(text, "coursepond_source_refused_total{reason=\"stale\"} 3"));
-  CHECK(holds(text, "coursepond_plans_confirmed_total 2"));
-  CHECK(holds(text, "coursepond_proxy_refused_total{reason=\"queue_full\"} 5"));
-  CHECK(holds(text, "coursepond_caller_refused_total{reason=\"bad_host\"} 6"));
-  CHECK(holds(text, "coursepond_peer_sent_bytes_total{kind=\"distribution\"} 100"));
-  CHECK(holds(text, "coursepond_log_lines_suppressed_total 1"));
+  CHECK(containsLine(text, "coursepond_ready 1"));
+  CHECK(containsLine(text, "coursepond_configuration_version_in_force 7"));
+  CHECK(containsLine(text, "coursepond_role{role=\"voter\"} 1"));
+  CHECK(containsLine(text, "coursepond_role{role=\"source_reader\"} 0"));
+  CHECK(containsLine(text, "coursepond_source_refused_total{reason=\"stale\"} 3"));
+  CHECK(containsLine(text, "coursepond_plans_confirmed_total 2"));
+  CHECK(containsLine(text, "coursepond_proxy_refused_total{reason=\"queue_full\"} 5"));
+  CHECK(containsLine(text, "coursepond_caller_refused_total{reason=\"bad_host\"} 6"));
+  CHECK(containsLine(text, "coursepond_peer_sent_bytes_total{kind=\"distribution\"} 100"));
+  CHECK(containsLine(text, "coursepond_log_lines_suppressed_total 1"));
 }
 
-TEST_CASE("every metric has its own name, and counters end in _total") {
+TEST_CASE("metric names are unique, and exactly the counters end in _total") {
   std::istringstream text(makeNodeMetrics(fixedSources()).exposition());
   std::set<std::string> names;
   std::string line;
@@ -85,7 +85,7 @@
   CHECK(names.size() > 50);
 }
 
-TEST_CASE("the metrics page holds exactly the table of metrics") {
+TEST_CASE("the metrics page matches the metric table") {
   testing::checkPageEndsWith("docs/operators/METRICS.md", "| Metric |",
                              makeNodeMetrics(fixedSources()).reference());
 }
--- a/tests/node/node_test.cpp
+++ b/tests/node/node_test.cpp
@@ -35,7 +35,8 @@
   return settings;
 }
 
-/// A platform with one version and no machines, and a node that reads it, in one process.
+/// A platform with one configuration version and no machines, and a node that reads it, in one
+/// process.
 class Fixture : public testing::LoopbackBench {
  public:
   Fixture() {
@@ -90,7 +91,7 @@
 
 }  // namespace
 
-TEST_CASE("a new node is alive but not ready, and refuses callers as not run") {
+TEST_CASE("a new node is alive but not ready, and refuses requests as not run") {
   Fixture fixture;
   CHECK(fixture.get("/healthz").status == 200);
   const runtime::HttpClientResponse readiness = fixture.get("/readyz");
@@ -105,7 +106,7 @@
   CHECK(runtime::findHeader(refusal.headers, "X-Outcome") == "not-run");
 }
 
-TEST_CASE("the operator API needs the token, and the token is shown nowhere") {
+TEST_CASE("the operator API requires the token, and no page shows it") {
   Fixture fixture;
   CHECK(fixture.get("/v1/status").status == 401);
   CHECK(fixture.get("/v1/status", "wrong").status == 401);
@@ -116,16 +117,16 @@
   }
 }
 
-TEST_CASE("a lone node reads the platform and comes to serve the published version") {
+TEST_CASE("a single node reads the platform and serves the published version") {
   Fixture fixture;
   REQUIRE(fixture.runUntil([&fixture] { return fixture.get("/readyz").status == 200; }));
   CHECK(fixture.get("/").body.find("version in force    1\n") != std::string::npos);
   const runtime::HttpClientResponse answer = fixture.callAsCaller("/x");
-  CHECK(answer.status == 503);  // There is a route, and no back end.
+  CHECK(answer.status == 503);  // There is a route but no back end.
   CHECK(runtime::findHeader(answer.headers, "X-Configuration-Version") == "1");
 }
 
-TEST_CASE("a planned stop fails readiness first and ends clean") {
+TEST_CASE("a graceful stop fails readiness first and ends clean") {
   Fixture fixture;
   std::optional<StopOutcome> outcome;
   fixture.node().stop([&outcome](StopOutcome stopped) { outcome = stopped; });
@@ -134,17 +135,17 @@
   CHECK(*outcome == StopOutcome::kClean);
 }
 
-TEST_CASE("a second stop waits for nothing more") {
+TEST_CASE("a second stop call stops immediately") {
   Fixture fixture;
   std::optional<StopOutcome> outcome;
-  const auto stopped = [&outcome](StopOutcome how) { outcome = how; };
+  const auto stopped = [&outcome](StopOutcome result) { outcome = result; };
   fixture.node().stop(stopped);
   fixture.node().stop(stopped);
   REQUIRE(fixture.runUntil([&outcome] { return outcome.has_value(); }));
   CHECK(*outcome == StopOutcome::kCut);
 }
 
-TEST_CASE("an address that is taken is told with the setting to change") {
+TEST_CASE("an address in use fails creation with a remedy") {
   Fixture fixture;
   runtime::Settings settings = testSettings(Address{"127.0.0.1", 1});
   settings.node.admin_listen = fixture.node().addresses().admin;
--- a/tests/node/peer_state_exchange_test.cpp
+++ b/tests/node/peer_state_exchange_test.cpp
@@ -1,4 +1,4 @@
-// What nodes tell each other of a source, over real sockets: each topic by itself.
+// Tests the exchange of source state between nodes over real sockets, for each topic.
 
 #include "node/peer_state_exchange.h"
 
@@ -19,21 +19,21 @@
 using source::Topic;
 using Answer = Result<std::optional<source::StateUpdate>>;
 
-/// A node that holds version 7 and one server, both as of revision 10, and one that asks it.
+/// A node with configuration version 7 and one server, both at revision 10, and a client for it.
 class Fixture : public testing::LoopbackBench {
  public:
   Fixture() {
     held_.rememberVersions(2);
-    holdServer("i-1", 10);
-    holdVersion(7, 10);
-    auto made = PeerStateServer::create(context_, Address{"127.0.0.1", 0}, held_, environment_,
-                                        [this](Topic topic) { return fresh_.contains(topic); });
-    REQUIRE(made.has_value());
-    server_ = std::move(*made);
-    asker_ = std::make_unique<HttpPeerStateClient>(context_, server_->address().port, relay_);
+    updateServer("i-1", 10);
+    updateVersion(7, 10);
+    auto created = PeerStateServer::create(context_, Address{"127.0.0.1", 0}, held_, environment_,
+                                           [this](Topic topic) { return fresh_.contains(topic); });
+    REQUIRE(created.has_value());
+    server_ = std::move(*created);
+    client_ = std::make_unique<HttpPeerStateClient>(context_, server_->address().port, relay_);
   }
 
-  void holdServer(const std::string& id, std::uint64_t revision) {
+  void updateServer(const std::string& id, std::uint64_t revision) {
     source::WatchBatch batch;
     batch.revision = Generation(revision);
     model::ServerEntry entry;
@@ -43,7 +43,7 @@
     batch.servers.push_back(entry);
     held_.updateServers(batch, false);
   }
-  void holdVersion(std::uint64_t version, std::uint64_t revision) {
+  void updateVersion(std::uint64_t version, std::uint64_t revision) {
     source::WatchBatch batch;
     batch.revision = Generation(revision);
     model::Configuration configuration;
@@ -52,16 +52,16 @@
     held_.updateConfiguration(batch);
   }
 
-  /// Asks without waiting for the answer, which is added to `answers`.
+  /// Sends a request. The answer is appended to `answers` when it arrives.
   void ask(Topic topic, std::uint64_t after, std::uint64_t version, Duration wait) {
     const source::PeerQuestion question{topic, Generation(after), Version(version), wait, true};
-    asker_->read("127.0.0.1", question, 10s,
-                 [this](const Answer& answer) { answers.push_back(answer); });
+    client_->read("127.0.0.1", question, 10s,
+                  [this](const Answer& answer) { answers.push_back(answer); });
   }
   bool isAnswered(std::size_t count = 1) {
     return runUntil([&] { return answers.size() >= count; });
   }
-  /// Lets what was asked arrive.
+  /// Gives requests in flight time to arrive.
   void settle() { context_.run_for(50ms); }
 
   std::set<Topic> fresh_{Topic::kServers, Topic::kConfiguration};
@@ -70,12 +70,12 @@
   source::RelaySettings relay_;
   source::HeldState held_;
   std::unique_ptr<PeerStateServer> server_;
-  std::unique_ptr<HttpPeerStateClient> asker_;
+  std::unique_ptr<HttpPeerStateClient> client_;
 };
 
 }  // namespace
 
-TEST_CASE("a question about the servers gets nothing of the configuration, and the other way") {
+TEST_CASE("an answer contains only the requested topic") {
   Fixture fixture;
   fixture.ask(Topic::kServers, 0, 0, 0s);
   REQUIRE(fixture.isAnswered());
@@ -90,30 +90,30 @@
   CHECK(configuration.configuration->version == Version(7));
 }
 
-TEST_CASE("a change is told to who waits for its topic, and to nobody else") {
+TEST_CASE("a change answers only the pending requests for its topic") {
   Fixture fixture;
   fixture.ask(Topic::kServers, 10, 0, 5s);
   fixture.ask(Topic::kConfiguration, 0, 7, 5s);
   fixture.settle();
-  fixture.holdServer("i-2", 11);
+  fixture.updateServer("i-2", 11);
   fixture.server_->onStateChanged(Topic::kServers);
   REQUIRE(fixture.isAnswered());
   fixture.settle();
   REQUIRE(fixture.answers.size() == 1);
   CHECK((*fixture.answers[0])->servers.size() == 1);
-  fixture.holdVersion(8, 12);
+  fixture.updateVersion(8, 12);
   fixture.server_->onStateChanged(Topic::kConfiguration);
   REQUIRE(fixture.isAnswered(2));
   CHECK((*fixture.answers[1])->delta.has_value());
 }
 
-TEST_CASE("a wait without a change ends with the revision up to which there was none") {
+TEST_CASE("a wait that ends without a change returns the current revision") {
   for (const Topic topic : {Topic::kServers, Topic::kConfiguration}) {
     CAPTURE(source::topicWord(topic));
     Fixture fixture;
     fixture.ask(topic, 10, 7, 200ms);
     fixture.settle();
-    // The source counts on, without a change that matters here.
+    // The source's revision rises without a change to this topic.
     source::WatchBatch nothing;
     nothing.revision = Generation(25);
     fixture.held_.updateServers(nothing, false);
@@ -130,7 +130,7 @@
   }
 }
 
-TEST_CASE("who does not wait is told shortly that there is nothing newer") {
+TEST_CASE("a request without a wait gets an immediate answer that there is nothing newer") {
   Fixture fixture;
   fixture.ask(Topic::kConfiguration, 0, 7, 0s);
   REQUIRE(fixture.isAnswered());
@@ -138,7 +138,7 @@
   CHECK_FALSE(fixture.answers[0]->has_value());
 }
 
-TEST_CASE("a node that does not read a topic now says so, also to who waits for it already") {
+TEST_CASE("a node that stopped reading a topic rejects new and pending requests for it") {
   Fixture fixture;
   fixture.ask(Topic::kServers, 10, 0, 5s);
   fixture.ask(Topic::kConfiguration, 0, 7, 5s);
@@ -154,19 +154,19 @@
   CHECK(fixture.answers[1].error().kind == ErrorKind::kOverloaded);
 }
 
-// When a whole fleet starts nobody knows anything at first. Nodes that were turned away at once all
-// read the source.
-TEST_CASE("who asks a node that has just started is answered as soon as that knows something") {
+// When a whole fleet starts, no node has any state at first. Nodes that were rejected at once would
+// all read the source.
+TEST_CASE("a node that has just started answers waiting requests as soon as it has state") {
   Fixture fixture;
   source::HeldState nothing;
-  auto made = PeerStateServer::create(fixture.context(), Address{"127.0.0.1", 0}, nothing,
-                                      fixture.environment_, [](Topic) { return false; });
-  REQUIRE(made.has_value());
-  HttpPeerStateClient asker(fixture.context(), (*made)->address().port, fixture.relay_);
+  auto created = PeerStateServer::create(fixture.context(), Address{"127.0.0.1", 0}, nothing,
+                                         fixture.environment_, [](Topic) { return false; });
+  REQUIRE(created.has_value());
+  HttpPeerStateClient client(fixture.context(), (*created)->address().port, fixture.relay_);
   const auto ask = [&] {
     const source::PeerQuestion question{Topic::kServers, Generation(), Version(), 0s, true};
-    asker.read("127.0.0.1", question, 10s,
-               [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
+    client.read("127.0.0.1", question, 10s,
+                [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
   };
   ask();
   fixture.settle();
@@ -174,34 +174,34 @@
   const auto known = source::toBatch(fixture.held_.serversSince(Generation()), nullptr);
   REQUIRE(known.has_value());
   nothing.updateServers(*known, true);
-  (*made)->onStateChanged(Topic::kServers);
+  (*created)->onStateChanged(Topic::kServers);
   REQUIRE(fixture.isAnswered());
   REQUIRE(fixture.answers[0].has_value());
   CHECK((*fixture.answers[0])->servers.size() == 1);
 }
 
-TEST_CASE("a node that knows nothing for longer turns who asks it away") {
+TEST_CASE("a node that gets no state in time rejects waiting requests") {
   Fixture fixture;
   const source::HeldState nothing;
-  auto made = PeerStateServer::create(fixture.context(), Address{"127.0.0.1", 0}, nothing,
-                                      fixture.environment_, [](Topic) { return true; });
-  REQUIRE(made.has_value());
-  HttpPeerStateClient asker(fixture.context(), (*made)->address().port, fixture.relay_);
+  auto created = PeerStateServer::create(fixture.context(), Address{"127.0.0.1", 0}, nothing,
+                                         fixture.environment_, [](Topic) { return true; });
+  REQUIRE(created.has_value());
+  HttpPeerStateClient client(fixture.context(), (*created)->address().port, fixture.relay_);
   const source::PeerQuestion question{Topic::kServers, Generation(), Version(), 0s, true};
-  asker.read("127.0.0.1", question, 10s,
-             [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
+  client.read("127.0.0.1", question, 10s,
+              [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
   REQUIRE(fixture.isAnswered());
   CHECK(fixture.answers[0].error().kind == ErrorKind::kOverloaded);
 }
 
-TEST_CASE("a path that names no topic is not found") {
+TEST_CASE("a path without a topic is answered with 404") {
   Fixture fixture;
   runtime::HttpClientRequest request;
   request.target = "/v1/state?after=0";
   CHECK(fixture.call(fixture.server_->address(), std::move(request)).status == 404);
 }
 
-TEST_CASE("a reader whose answer about servers trickles is left in the time of a promise") {
+TEST_CASE("a server update that arrives too slowly is abandoned within the promised time") {
   Fixture fixture;
   boost::asio::io_context& context = fixture.context();
   runtime::AsioEnvironment environment(context);
@@ -215,16 +215,17 @@
         responder.begin({});
         trickle(responder);
       }));
-  HttpPeerStateClient asker(context, server->address().port, fixture.relay_);
+  HttpPeerStateClient client(context, server->address().port, fixture.relay_);
   std::optional<Answer> answer;
   const source::PeerQuestion question{Topic::kServers, Generation(10), Version(), 0s, true};
-  asker.read("127.0.0.1", question, 400ms, [&](const Answer& given) { answer = given; });
+  client.read("127.0.0.1", question, 400ms, [&](const Answer& given) { answer = given; });
   context.run_for(4s);
-  // Servers that leave are known within two seconds; no other reader is asked before this ends.
+  // Leaving servers are to be known within two seconds, and no other reader is asked before this
+  // request ends.
   CHECK(answer.has_value());
 }
 
-TEST_CASE("a node that asks peers, for the source is away, does not fill its link with questions") {
+TEST_CASE("peer reads during a source outage do not saturate a slow link with repeated requests") {
   Fixture fixture;
   source::WatchBatch batch;
   batch.revision = Generation(12);
@@ -245,7 +246,7 @@
       source::encodeStateUpdate(fixture.held_.configurationSince(Version())).size();
   CAPTURE(bytes);
 
-  // The answer alone takes two seconds.
+  // Transferring the answer once takes two seconds.
   testing::LimitedLink link(fixture.context(), fixture.server_->address(), bytes / 2);
   HttpPeerStateClient client(fixture.context(), link.address().port, fixture.relay_);
   source::HeldState nothing;
--- a/tests/node/quota_exchange_test.cpp
+++ b/tests/node/quota_exchange_test.cpp
@@ -12,13 +12,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// An owner that answers as told, on a port of its own, and a node that asks it once.
+/// An owner that returns a given response, and a node that sends it one token request.
 struct Exchange {
   Result<admission::QuotaGrant> ask(const runtime::HttpResponse& response) {
     auto server = runtime::HttpServer::create(
         context, {"127.0.0.1", 0}, {},
         [&](const runtime::HttpRequest& request, runtime::HttpResponder responder) {
-          asked = readQuotaAsk(request);
+          received = readQuotaAsk(request);
           responder.respond(response);
         });
     REQUIRE(server.has_value());
@@ -32,19 +32,19 @@
   }
 
   boost::asio::io_context context;
-  std::optional<Result<admission::QuotaAsk>> asked;
+  std::optional<Result<admission::QuotaAsk>> received;
 };
 
 }  // namespace
 
-TEST_CASE("a question for tokens and its answer arrive as they were sent") {
+TEST_CASE("a token request and its grant survive the round trip") {
   Exchange exchange;
   const auto grant = exchange.ask(quotaAnswer({4, milliseconds(70)}));
   REQUIRE(grant.has_value());
   CHECK(grant->tokens == 4);
   CHECK(grant->wait == milliseconds(70));
-  REQUIRE(exchange.asked->has_value());
-  const admission::QuotaAsk& ask = **exchange.asked;
+  REQUIRE(exchange.received->has_value());
+  const admission::QuotaAsk& ask = **exchange.received;
   CHECK(ask.tenant == TenantName("farm"));
   CHECK(ask.asker == "127.0.0.1");
   CHECK(ask.needed == 3);
@@ -53,16 +53,16 @@
   CHECK(ask.is_stand_in);
 }
 
-TEST_CASE("what is no grant is an error, so that another node is asked") {
-  runtime::HttpResponse odd = quotaAnswer({});
+TEST_CASE("an invalid grant is an error, so that another node is asked") {
+  runtime::HttpResponse invalid = quotaAnswer({});
   for (const char* body : {"", "{}", "[1]", R"({"tokens":-1,"wait_ms":0})", R"({"tokens":1})"}) {
-    odd.body = body;
-    CHECK_FALSE(Exchange().ask(odd).has_value());
+    invalid.body = body;
+    CHECK_FALSE(Exchange().ask(invalid).has_value());
   }
   CHECK_FALSE(Exchange().ask(noQuotaAnswer()).has_value());
 }
 
-TEST_CASE("a question that names no tenant is refused") {
+TEST_CASE("a token request without a tenant is rejected") {
   runtime::HttpRequest request;
   request.target = "/v1/quota?needed=1";
   CHECK_FALSE(readQuotaAsk(request).has_value());
--- a/tests/node/repeat_bound_test.cpp
+++ b/tests/node/repeat_bound_test.cpp
@@ -2,24 +2,21 @@
 
 #include "support/simulated_mesh.h"
 
-// The story of the failure. Callers of a money transfer mesh saw refusals and failures after some
-// machines went; the operator's record showed 1,719 arrivals at one service beyond the first of
-// their request in ten seconds, of 1,689 that its bound on repeats allows. The service is called by
-// another one, twice per request. Order of events: an answer of the called service is lost; the
-// call is sent to a second server while the allowance of its node lasts, then fails; its parent
-// fails with it and is sent to a second server as well, within the allowance of the parent's
-// service; there it makes its calls once more, and these passed as first attempts. Each hop kept
-// its own bound, but at the called service they add up. Evidence: with counters by service and
-// reason on a day on which a third of the answers were lost, 929 repeats were sent on purpose in
-// the ten seconds, 479 runs of the calling service were repeats, and 1,876 arrivals were counted:
-// the 947 that no node knew of are two calls of each of these runs.
+// Guards against repeats that exceed a service's bound because several hops repeat.
+//
+// A service is called twice for each request of another service. When an answer of the called
+// service is lost, the call is repeated within the retry budget of its node and then fails. Its
+// parent request fails with it and is repeated on a second server, within the retry budget of the
+// calling service. There it makes its calls again. If these count as first attempts, each hop keeps
+// its own bound, but the called service receives the repeats of both hops. The calls made by
+// repeated runs must therefore count as repeats at the called service.
 
 namespace coursepond::testing {
 namespace {
 
 using std::chrono::seconds;
 
-/// "accounts" calls "transfers" twice in seven of ten runs; both also have callers of their own.
+/// "accounts" calls "transfers" twice in 70 % of its runs. Both also have callers of their own.
 std::vector<ServiceModel> callingMesh() {
   ServiceModel accounts{.name = "accounts", .servers = 6};
   accounts.calls = "transfers";
@@ -28,8 +25,8 @@
   return {accounts, {.name = "transfers", .servers = 4}, {.name = "receipts", .servers = 3}};
 }
 
-/// Both services have callers, and all is well.
-void serveForAWhile(SimulatedMesh& mesh) {
+/// Runs the mesh under load without failures for four seconds.
+void runWithoutFailures(SimulatedMesh& mesh) {
   mesh.load("accounts", 440);
   mesh.load("transfers", 120);
   mesh.run(seconds(4));
@@ -50,9 +47,9 @@
 
 }  // namespace
 
-TEST_CASE("while a called service loses answers, repeats of all hops stay within its bound") {
+TEST_CASE("repeats of all hops stay within the bound of a called service that loses answers") {
   SimulatedMesh mesh(callingMesh(), 7);
-  serveForAWhile(mesh);
+  runWithoutFailures(mesh);
   mesh.model("transfers").answers_lost = 0.3;
   mesh.run(seconds(14));
   mesh.model("transfers").answers_lost = 0;
@@ -61,29 +58,29 @@
   CHECK(mesh.ledger().repeats("transfers") > 100);
 }
 
-TEST_CASE("servers that do not name the parent of a call change nothing about the bound") {
+TEST_CASE("the bound holds when servers do not name the parent of a call") {
   SimulatedMesh mesh(callingMesh(), 8, /*child_ids=*/false);
-  serveForAWhile(mesh);
+  runWithoutFailures(mesh);
   mesh.model("transfers").answers_lost = 0.3;
   mesh.run(seconds(14));
   checkBothWithinBound(mesh);
   CHECK(mesh.ledger().repeats("transfers") > 100);
 }
 
-TEST_CASE("while servers of a called service reject half of what they get, the bound holds") {
+TEST_CASE("the bound holds while servers of a called service reject half of their requests") {
   SimulatedMesh mesh(callingMesh(), 15);
-  serveForAWhile(mesh);
+  runWithoutFailures(mesh);
   mesh.model("transfers").rejected = 0.5;
   mesh.run(seconds(14));
   checkBothWithinBound(mesh);
   CHECK(mesh.ledger().repeats("transfers") > 100);
 }
 
-TEST_CASE("while both hops lose answers, repeats stay within the bounds of both services") {
+TEST_CASE("repeats stay within the bounds of both services while both hops lose answers") {
   for (const double lost : {0.05, 0.2, 0.6, 1.0}) {
     CAPTURE(lost);
     SimulatedMesh mesh(callingMesh(), 9);
-    serveForAWhile(mesh);
+    runWithoutFailures(mesh);
     mesh.model("accounts").answers_lost = lost;
     mesh.model("transfers").answers_lost = lost;
     mesh.run(seconds(14));
@@ -91,8 +88,7 @@
   }
 }
 
-TEST_CASE(
-    "few runs that make many calls: the repeated ones are those, and are let in by their cost") {
+TEST_CASE("the bound holds when only few runs make calls, but many each") {
   ServiceModel accounts{.name = "accounts", .servers = 6};
   accounts.calls = "transfers";
   accounts.calls_per_run = 6;
@@ -106,7 +102,7 @@
   checkBothWithinBound(mesh);
 }
 
-TEST_CASE("calls of calls: a repeat at the first hop is charged at each service below") {
+TEST_CASE("a repeat at the first hop is charged to every service called below it") {
   ServiceModel accounts{.name = "accounts", .servers = 5};
   accounts.calls = "transfers";
   accounts.calls_per_run = 2;
@@ -128,7 +124,7 @@
   }
 }
 
-TEST_CASE("nodes that start again do not bring the burst anew") {
+TEST_CASE("restarted nodes do not get a new retry burst") {
   SimulatedMesh mesh(callingMesh(), 11);
   mesh.load("accounts", 60);
   mesh.load("transfers", 10);
@@ -141,7 +137,7 @@
   checkBothWithinBound(mesh);
 }
 
-TEST_CASE("nodes that see few others in an outage of the source keep to their part of the burst") {
+TEST_CASE("nodes that see few others during a source outage keep to their share of the burst") {
   SimulatedMesh mesh({{.name = "transfers", .servers = 2}, {.name = "accounts", .servers = 11}},
                      12);
   mesh.load("accounts", 60);
@@ -154,7 +150,7 @@
   checkWithinBound(mesh, "transfers");
 }
 
-TEST_CASE("a mesh that loses nothing repeats nothing and serves all") {
+TEST_CASE("a mesh without failures serves all requests and repeats none") {
   SimulatedMesh mesh(callingMesh(), 13);
   mesh.load("accounts", 440);
   mesh.load("transfers", 120);
--- a/tests/node/retry_report_test.cpp
+++ b/tests/node/retry_report_test.cpp
@@ -10,7 +10,7 @@
 using proxy::RepeatUse;
 using runtime::LogField;
 
-TEST_CASE("a service gets a line when something was repeated or denied, with what is new") {
+TEST_CASE("a service is reported when requests were repeated or denied, with the changes since") {
   const ServiceName stock("stock");
   proxy::VirtualEnvironment environment;
   proxy::RetryAccounts retries(environment, {.ratio = 0.5, .burst = 2});
@@ -37,7 +37,7 @@
   CHECK(report.next(retries).empty());
 }
 
-TEST_CASE("calls of runs that are repeats are told for the called service") {
+TEST_CASE("calls made by repeated runs are reported for the called service") {
   proxy::VirtualEnvironment environment;
   proxy::RetryAccounts retries(environment);
   proxy::ServerRun run{.request = "r1", .repeat_share = 1};
--- a/tests/node/server_health_test.cpp
+++ b/tests/node/server_health_test.cpp
@@ -16,22 +16,22 @@
 
 }  // namespace
 
-TEST_CASE("a server's health answer tells its instance and for how long it is cold") {
+TEST_CASE("a health answer contains the instance and the remaining cold time") {
   const runtime::HeaderNames names;
   const auto cold =
       healthOf(answer(200, {{"X-Instance-Id", "i-7"}, {"X-Cold-Left-Ms", "1500.5"}}), names);
   REQUIRE(cold.has_value());
   CHECK(cold->instance == "i-7");
   CHECK(cold->cold_left == std::chrono::microseconds(1'500'500));
-  // One that is leaving says so with another status, and is as cold or warm as it says.
+  // A leaving server answers with another status, and its cold time is still valid.
   const auto leaving = healthOf(answer(503, {{"X-Instance-Id", "i-7"}}), names);
   REQUIRE(leaving.has_value());
   CHECK(leaving->cold_left == Duration(0));
 }
 
-TEST_CASE("what is no word of the server tells nothing") {
+TEST_CASE("answers without valid health state are ignored") {
   const runtime::HeaderNames names;
-  // Rejected for want of room: the server did not look.
+  // Rejected because the server is full: the health check did not run.
   CHECK_FALSE(healthOf(answer(503, {{"X-Not-Run", "1"}}), names).has_value());
   const runtime::HeaderFields full = {{"X-Not-Run", "1"}, {"X-Instance-Id", "i-7"}};
   CHECK_FALSE(healthOf(answer(503, full), names).has_value());
@@ -47,27 +47,27 @@
   CHECK(forever->cold_left == std::chrono::hours(1));
 }
 
-TEST_CASE("the server is asked where its service says, and only there") {
+TEST_CASE("the health state is requested only at the path that the service configures") {
   testing::LoopbackBench bench;
-  std::vector<std::string> asked;
+  std::vector<std::string> requested;
   const auto server = runtime::HttpServer::create(
       bench.context(), Address{"127.0.0.1", 0}, {},
       [&](const runtime::HttpRequest& request, const runtime::HttpResponder& responder) {
-        asked.push_back(request.target);
+        requested.push_back(request.target);
         runtime::HttpResponse response;
         response.headers = {{"X-Instance-Id", "i-7"}, {"X-Cold-Left-Ms", "200"}};
         responder.respond(std::move(response));
       });
   REQUIRE(server.has_value());
   ServerHealthClient client(bench.context(), (*server)->address(), {});
-  std::vector<ingress::ServerHealth> told;
-  client.fetch([&](const ingress::ServerHealth& health) { told.push_back(health); });
+  std::vector<ingress::ServerHealth> received;
+  client.fetch([&](const ingress::ServerHealth& health) { received.push_back(health); });
   client.setPath("/healthy");
-  client.fetch([&](const ingress::ServerHealth& health) { told.push_back(health); });
-  CHECK(bench.runUntil([&] { return !told.empty(); }));
-  CHECK(asked == std::vector<std::string>{"/healthy"});
-  REQUIRE(told.size() == 1);
-  CHECK(told[0].cold_left == milliseconds(200));
+  client.fetch([&](const ingress::ServerHealth& health) { received.push_back(health); });
+  CHECK(bench.runUntil([&] { return !received.empty(); }));
+  CHECK(requested == std::vector<std::string>{"/healthy"});
+  REQUIRE(received.size() == 1);
+  CHECK(received[0].cold_left == milliseconds(200));
 }
 
 }  // namespace coursepond::node
--- a/tests/node/status_page_test.cpp
+++ b/tests/node/status_page_test.cpp
@@ -7,14 +7,14 @@
 using namespace coursepond;
 using namespace coursepond::node;
 
-TEST_CASE("columns are aligned to their widest cell") {
+TEST_CASE("table columns are aligned to their widest cell") {
   TextTable table({"A", "LONG"});
   table.addRow({"wide cell", "1"});
   table.addRow({"x", "2"});
   CHECK(table.render() == "A          LONG\nwide cell  1\nx          2\n");
 }
 
-TEST_CASE("the status page tells versions, roles, zones and back ends") {
+TEST_CASE("the status page shows versions, roles, zones and back ends") {
   StatusReport report;
   report.node = NodeId("a1");
   report.zone = ZoneId("a");
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("a node without configuration says so") {
+TEST_CASE("the status page of a node without configuration says why it is not ready") {
   StatusReport report;
   report.readiness = "not ready: no configuration has been accepted";
   const std::string page = renderStatusPage(report);
--- a/tests/node/suspect_exchange_test.cpp
+++ b/tests/node/suspect_exchange_test.cpp
@@ -21,22 +21,23 @@
   return message;
 }
 
-/// Asks nobody.
+/// Never exchanges messages.
 class NoPeers final : public admission::SuspectPeers {
   void exchange(const std::string&, const SuspectMessage&, Callback) override {}
 };
 
 }  // namespace
 
-TEST_CASE("a message on crash suspects arrives as it was sent") {
+TEST_CASE("a crash suspect message survives encoding and decoding") {
   const SuspectMessage sent = makeMessage();
-  const Result<SuspectMessage> got = decodeSuspects(encodeSuspects(sent));
-  REQUIRE(got.has_value());
-  CHECK(got->summary == sent.summary);
-  CHECK(got->reports == sent.reports);
+  const Result<SuspectMessage> decoded = decodeSuspects(encodeSuspects(sent));
+  REQUIRE(decoded.has_value());
+  CHECK(decoded->summary == sent.summary);
+  CHECK(decoded->reports == sent.reports);
 }
 
-TEST_CASE("bytes that are no message are refused with a remedy, whatever they are") {
+TEST_CASE(
+    "truncated messages are rejected with a remedy, and corrupted ones do not crash the decoder") {
   const std::string whole = encodeSuspects(makeMessage());
   for (std::size_t size = 0; size < whole.size(); ++size) {
     const Result<SuspectMessage> cut = decodeSuspects(whole.substr(0, size));
@@ -48,16 +49,16 @@
   for (int count = 0; count < 20'000; ++count) {
     std::string changed = whole;
     changed[random() % changed.size()] = static_cast<char>(random());
-    const Result<SuspectMessage> got = decodeSuspects(changed);
-    if (!got) CHECK(got.error().kind == ErrorKind::kMalformed);
+    const Result<SuspectMessage> decoded = decodeSuspects(changed);
+    if (!decoded) CHECK(decoded.error().kind == ErrorKind::kMalformed);
   }
 }
 
-TEST_CASE("a node answers what it holds over HTTP, and 400 what it cannot read") {
+TEST_CASE("a node answers with its reports over HTTP, and with 400 to a malformed message") {
   proxy::VirtualEnvironment environment;
   admission::CrashSuspects suspects;
-  NoPeers nobody;
-  admission::SuspectGossip gossip(suspects, nobody, environment);
+  NoPeers no_peers;
+  admission::SuspectGossip gossip(suspects, no_peers, environment);
   for (const ServerEndId end : {1, 2}) {
     suspects.onServerEnd(end, std::vector{RequestFingerprint(7)}, environment.now());
   }
@@ -65,10 +66,10 @@
   request.body = encodeSuspects({});
   const runtime::HttpResponse answer = answerSuspects(request, gossip);
   CHECK(answer.status == 200);
-  const Result<SuspectMessage> told = decodeSuspects(answer.body);
-  REQUIRE(told.has_value());
-  REQUIRE(told->reports.size() == 1);
-  CHECK(told->reports[0].ends == std::vector<ServerEndId>{1, 2});
+  const Result<SuspectMessage> reply = decodeSuspects(answer.body);
+  REQUIRE(reply.has_value());
+  REQUIRE(reply->reports.size() == 1);
+  CHECK(reply->reports[0].ends == std::vector<ServerEndId>{1, 2});
   request.body = "no message";
   CHECK(answerSuspects(request, gossip).status == 400);
 }
--- a/tests/node/two_hop_metrics_test.cpp
+++ b/tests/node/two_hop_metrics_test.cpp
@@ -14,7 +14,7 @@
   void watch(SourceRevision, Duration, Duration, source::WatchCallback) override {}
 };
 
-/// The parts of a node that never ran.
+/// The components of a node that was never started.
 struct Parts {
   proxy::VirtualEnvironment environment;
   NoSource client;
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE("the counters of each part are told under their names") {
+TEST_CASE("/metrics contains the counters of each component under their names") {
   Parts parts;
   parts.egress.statistics().repeats = 7;
   parts.ingress.statistics().displaced = 3;
@@ -80,7 +80,7 @@
   CHECK(text.find("coursepond_watch_lists_total 2") != std::string::npos);
 }
 
-TEST_CASE("how long requests took is told by service and outcome") {
+TEST_CASE("request latency is reported by service and outcome") {
   Parts parts;
   proxy::Decision decision;
   decision.side = proxy::kEgressSide;
@@ -104,7 +104,7 @@
   CHECK(text.find("coursepond_ingress_queue_seconds_sum{service=\"stock\"") != std::string::npos);
 }
 
-TEST_CASE("however many services peers name, the series stay bounded") {
+TEST_CASE("the number of histogram series is bounded whatever service names peers send") {
   Parts parts;
   proxy::Decision decision;
   decision.side = proxy::kIngressSide;
@@ -120,7 +120,7 @@
         std::string::npos);
 }
 
-TEST_CASE("an attempt that did not end its request is not counted as one") {
+TEST_CASE("an attempt that does not end its request is not counted in the request latency") {
   Parts parts;
   proxy::Decision decision;
   decision.kind = proxy::DecisionKind::kAttemptEnded;
@@ -129,7 +129,7 @@
   CHECK(parts.table().exposition().find("egress_request_seconds_count") == std::string::npos);
 }
 
-TEST_CASE("the page of two-hop metrics holds exactly the table of metrics") {
+TEST_CASE("the two-hop metrics page matches the metric table") {
   testing::checkPageEndsWith("docs/operators/METRICS-TWO-HOP.md", "| Metric |",
                              Parts().table().reference());
 }
--- a/tests/node/two_hop_node_test.cpp
+++ b/tests/node/two_hop_node_test.cpp
@@ -24,7 +24,7 @@
 
 constexpr char kSignature[] = "X-Signature";
 
-/// A source that holds one list; a change of it is seen by the next read.
+/// A source whose state the test changes directly. The next read returns the change.
 class FakeSource {
  public:
   model::Configuration configuration;
@@ -32,10 +32,10 @@
   std::vector<EndpointId> removed_servers;
   std::uint64_t era = 0;
   std::uint64_t revision = 1;
-  bool is_away = false;
-  bool holds_back_versions = false;        ///< Their answers have begun and do not end.
-  std::set<std::string> turned_away;       ///< Machines that it serves no longer.
-  std::map<std::string, int> read_counts;  ///< By machine.
+  bool is_down = false;                    ///< All reads fail.
+  bool stalls_versions = false;            ///< Reads of the configuration never complete.
+  std::set<std::string> refused_machines;  ///< Machines whose reads fail.
+  std::map<std::string, int> read_counts;  ///< Number of reads by machine.
 
   source::WatchBatch whole(source::Topic topic) const {
     source::WatchBatch batch;
@@ -52,7 +52,7 @@
   }
 };
 
-/// Reads a FakeSource; a watch is answered after a short time.
+/// Reads a FakeSource. A watch is answered after a short delay.
 class FakeClient final : public source::WatchClient {
  public:
   FakeClient(asio::io_context& context, FakeSource& source, std::string machine,
@@ -67,15 +67,15 @@
   }
 
  private:
-  /// `era`: the read goes on in this one.
+  /// `era` is the era that a watch continues in. The read fails if the source is in another one.
   void answerIn(Duration delay, std::optional<Era> era, source::WatchCallback callback) {
     auto timer = std::make_shared<asio::steady_timer>(context_, delay);
     timer->async_wait([this, timer, era, callback](const boost::system::error_code& error) {
       if (error) return;
       ++source_.read_counts[machine_];
       const bool is_version = topic_ == source::Topic::kConfiguration;
-      if (is_version && source_.holds_back_versions) return;
-      const bool is_refused = source_.is_away || source_.turned_away.contains(machine_);
+      if (is_version && source_.stalls_versions) return;
+      const bool is_refused = source_.is_down || source_.refused_machines.contains(machine_);
       if (is_refused) return callback(Error{ErrorKind::kUnavailable, "away", ""});
       const bool is_restored = era && *era != Era(source_.era);
       if (is_restored) return callback(Error{ErrorKind::kBaseMismatch, "restored", ""});
@@ -89,14 +89,14 @@
   source::Topic topic_;
 };
 
-/// What a server of the test does with a request.
+/// Handles a request at a test server.
 using Behaviour = std::function<void(runtime::HttpRequest, runtime::HttpResponder)>;
 
 std::string headerOf(const runtime::HttpRequest& request, std::string_view name) {
   return std::string(runtime::findHeader(request.headers, name).value_or(""));
 }
 
-/// A proper answer: signed, with the request's id.
+/// Returns a valid answer: signed and with the request's id.
 runtime::HttpResponse properAnswer(const runtime::HttpRequest& request, std::string body) {
   runtime::HttpResponse response;
   response.headers.push_back({"X-Request-Id", headerOf(request, "X-Request-Id")});
@@ -105,7 +105,7 @@
   return response;
 }
 
-/// One machine: a server and the node that owns it.
+/// One machine: a server and its node.
 struct Machine {
   std::unique_ptr<runtime::HttpServer> server;
   std::vector<runtime::HttpRequest> received;
@@ -113,10 +113,10 @@
   std::unique_ptr<TwoHopNode> node;
 };
 
-/// Two machines of two zones: "shop" on the first, "stock" on the second and the third.
+/// Three machines in one zone: service "shop" on the first, "stock" on the second and the third.
 class Fixture : public testing::LoopbackBench {
  public:
-  /// `certain_for`: see egress::Settings::configuration_certain_for.
+  /// For `certain_for` see egress::Settings::configuration_certain_for.
   explicit Fixture(Duration certain_for = {}) : certain_for_(certain_for) {
     addRoute("read", "/read", model::Repeatability::kAlways);
     addRoute("book", "/book", model::Repeatability::kNever);
@@ -131,7 +131,7 @@
     REQUIRE(runUntil([this] { return readiness(0) == 200 && readiness(1) == 200; }));
   }
 
-  /// A request that begins on the first machine.
+  /// Sends a request through the egress of the first machine.
   runtime::HttpClientResponse send(const std::string& method, const std::string& target,
                                    const std::string& body = "") {
     return call(machines_[0]->node->addresses().caller, makeRequest(method, target, body));
@@ -148,7 +148,7 @@
     return request;
   }
 
-  /// A request with an API key that begins on this machine.
+  /// Sends a request with an API key through the egress of `machine`.
   runtime::HttpClientResponse sendAs(std::size_t machine, const std::string& key) {
     runtime::HttpClientRequest request = makeRequest("GET", "/read/1", "");
     request.headers.push_back({"X-Api-Key", key});
@@ -164,7 +164,7 @@
     publish();
   }
 
-  /// What callers of each machine get for a route that does not exist.
+  /// Returns the statuses that callers of all machines get for a path without a route.
   std::set<int> answersWithoutRoute() {
     std::set<int> statuses;
     for (const auto& machine : machines_) {
@@ -202,25 +202,25 @@
   FakeSource& source() { return source_; }
   std::size_t machineCount() const { return machines_.size(); }
 
-  /// More machines, so that some do not read the source themselves.
-  void grow() {
+  /// Adds four machines, so that there are more machines than readers of the source.
+  void addFourMachines() {
     for (const char* ip : {"127.0.0.5", "127.0.0.6", "127.0.0.7", "127.0.0.8"}) {
       addMachine(ip, "stock");
       machines_.back()->node->start();
     }
     ++source_.revision;
-    const auto knowAll = [this] {
+    const auto allKnowServers = [this] {
       for (std::size_t index = 0; index < machines_.size(); ++index) {
         if (statusPage(index).find("servers known: 7") == std::string::npos) return false;
       }
       return true;
     };
-    REQUIRE(runUntil(knowAll));
+    REQUIRE(runUntil(allKnowServers));
   }
 
-  /// Machines that read the source in the next moments.
+  /// Returns the machines that read the source in the next 300 ms after a settling time.
   std::set<std::string> readers() {
-    // What was on its way when the roles changed is over by then.
+    // Reads that were in flight when the roles changed have ended by then.
     context_.run_for(300ms);
     source_.read_counts.clear();
     context_.run_for(300ms);
@@ -229,7 +229,7 @@
     return hosts;
   }
 
-  /// Publishes the next version and waits until every machine has it in force.
+  /// Publishes the next version and waits until it is in force on every machine.
   void publish() {
     const std::uint64_t version = source_.configuration.version.value() + 1;
     source_.configuration.version = Version(version);
@@ -244,8 +244,8 @@
   }
   std::uint16_t ingressPort() const { return ingress_port_; }
 
-  /// Puts all servers into another zone than the nodes'.
-  void moveServersAway() {
+  /// Moves all servers to a zone that no node is in.
+  void moveServersToOtherZone() {
     for (model::ServerEntry& server : source_.servers) {
       server.zone = ZoneId("b");
       server.revision = Generation(3);
@@ -328,7 +328,7 @@
     settings.headers.signature = kSignature;
     settings.admin.readiness_path = "/ready";
     settings.egress.configuration_certain_for = certain_for_;
-    // Each request earns a repeat, so that the first failure may be repeated.
+    // Every request adds a whole repeat to the retry budget, so the first failure may be repeated.
     settings.retries = {.ratio = 1, .burst = 100};
     return settings;
   }
@@ -358,7 +358,7 @@
   CHECK(headerOf(request, "X-Hop-Class").empty());
 }
 
-TEST_CASE("what may not be repeated arrives whole, also when it is long") {
+TEST_CASE("a non-repeatable request arrives complete, whatever its size") {
   Fixture mesh;
   for (const std::size_t size : {1, 5000, 60'000}) {
     const std::string body(size, 'b');
@@ -369,8 +369,8 @@
   CHECK(mesh.arrivals() == 3);
 }
 
-// With tenants unread, keys went on to the servers, which were not told whose a request is.
-TEST_CASE("a tenant's key ends at its node, and only its name goes on") {
+// Guards against forwarding API keys to servers and against requests without the tenant's name.
+TEST_CASE("the egress replaces a tenant's API key with the tenant's name") {
   Fixture mesh;
   mesh.addTenant("farm", "key-of-farm", {});
   const auto answer = mesh.sendAs(0, "key-of-farm");
@@ -389,9 +389,9 @@
   }
 }
 
-TEST_CASE("a quota holds over the nodes at which a tenant's requests arrive") {
+TEST_CASE("a tenant's quota limits its requests over all nodes together") {
   Fixture mesh;
-  // A token each 1,000 s beyond what the owner begins with: a quarter of the burst.
+  // The owner starts with a quarter of the burst, 4 tokens, and adds one token every 1,000 s.
   mesh.addTenant("farm", "key-of-farm", {.rate_per_1000_s = 1, .burst = 16});
   std::size_t served = 0;
   for (int round = 0; round < 8; ++round) {
@@ -409,7 +409,7 @@
   CHECK(mesh.arrivals() == 4);
 }
 
-TEST_CASE("a cut answer is tried elsewhere only where that is allowed, and never passed on short") {
+TEST_CASE("a truncated answer is retried only for repeatable requests and never forwarded") {
   Fixture mesh;
   mesh.setBehaviour(
       [](const runtime::HttpRequest& request, const runtime::HttpResponder& responder) {
@@ -425,7 +425,7 @@
   CHECK(mesh.arrivals() == 3);
 }
 
-TEST_CASE("a server that was started anew is served under its new name") {
+TEST_CASE("requests reach a restarted server under its new instance id") {
   Fixture mesh;
   mesh.setBehaviour(
       [](const runtime::HttpRequest& request, const runtime::HttpResponder& responder) {
@@ -440,7 +440,7 @@
   CHECK(mesh.send("POST", "/book", "b").body == "new");
 }
 
-TEST_CASE("a server's refusal of what it did not run is told as not run, with when to come back") {
+TEST_CASE("a server's not-run refusal reaches the caller as not run with Retry-After") {
   Fixture mesh;
   mesh.setBehaviour([](const runtime::HttpRequest&, const runtime::HttpResponder& responder) {
     runtime::HttpResponse refusal;
@@ -454,11 +454,11 @@
   CHECK(runtime::findHeader(answer.headers, "X-Outcome") == "not-run");
 }
 
-TEST_CASE("a server that left is not followed by the entry of the one before it") {
+TEST_CASE("a server that left is not replaced by the stale entry of its crashed predecessor") {
   Fixture mesh;
   std::vector<model::ServerEntry>& servers = mesh.source().servers;
-  // Of the service only the second machine's server is left. It crashed and was started anew: the
-  // entry of before still stands.
+  // Only the second machine still serves "stock". Its server crashed and was restarted, and the
+  // entry from before the crash is still listed.
   servers[2].state = model::MachineState::kLeaving;
   servers[2].revision = Generation(4);
   model::ServerEntry newer = servers[1];
@@ -480,7 +480,7 @@
   std::erase_if(servers, [&](const model::ServerEntry& entry) { return entry.id == newer.id; });
   mesh.source().removed_servers = {newer.id};
   mesh.source().revision = 7;
-  // Until all have read that it went.
+  // Wait until both nodes have read the removal.
   REQUIRE(mesh.runUntil([&] {
     return mesh.statusPage(0).find("known: 3") != std::string::npos &&
            mesh.statusPage(1).find("known: 3") != std::string::npos;
@@ -492,12 +492,12 @@
   CHECK(mesh.machine(1).received.size() == before);
 }
 
-TEST_CASE("a draining server gets no new request") {
+TEST_CASE("a draining server gets no new requests") {
   Fixture mesh;
   mesh.source().servers[1].state = model::MachineState::kLeaving;
   mesh.source().servers[1].revision = Generation(2);
   mesh.source().revision = 2;
-  // One request that goes elsewhere may be chance; twelve are not.
+  // Twelve requests in a row, because a single one may go to another server by chance.
   REQUIRE(mesh.runUntil([&] {
     mesh.machine(1).received.clear();
     for (int number = 0; number < 12; ++number) mesh.send("GET", "/read");
@@ -507,49 +507,52 @@
   CHECK(mesh.machine(1).received.empty());
 }
 
-TEST_CASE("three machines read the source; a version reaches all the others through them") {
+TEST_CASE("three machines read the source and pass new versions to all others") {
   Fixture mesh;
-  mesh.grow();
+  mesh.addFourMachines();
   CHECK(mesh.readers().size() == 3);
   mesh.publish();
   mesh.publish();
   CHECK(mesh.readers().size() == 3);
 }
 
-TEST_CASE("versions also reach the machines that the source turns away") {
+TEST_CASE("new versions reach machines whose reads the source refuses") {
   Fixture mesh;
-  mesh.grow();
-  SUBCASE("one of the readers") { mesh.source().turned_away = {*mesh.readers().begin()}; }
-  SUBCASE("all of the readers") { mesh.source().turned_away = mesh.readers(); }
+  mesh.addFourMachines();
+  SUBCASE("one of the readers") { mesh.source().refused_machines = {*mesh.readers().begin()}; }
+  SUBCASE("all of the readers") { mesh.source().refused_machines = mesh.readers(); }
   mesh.publish();
   mesh.publish();
 }
 
-// A reader that was receiving a large version vouched for the one before, again and again.
-TEST_CASE("no machine says that a route does not exist while its reader waits for a version") {
+// Guards against a reader that keeps confirming the previous version as current while it is still
+// receiving a large new one.
+TEST_CASE("no machine answers 404 while its reader is still waiting for a new version") {
   Fixture mesh(1500ms);
-  mesh.grow();
+  mesh.addFourMachines();
   for (int left = 30; left > 0; --left) {
     CHECK(mesh.answersWithoutRoute() == std::set{404});
     mesh.context().run_for(100ms);
   }
-  mesh.source().holds_back_versions = true;
+  mesh.source().stalls_versions = true;
   CHECK(mesh.runUntil([&] { return mesh.answersWithoutRoute() == std::set{503}; }));
-  mesh.source().holds_back_versions = false;
+  mesh.source().stalls_versions = false;
 }
 
-TEST_CASE("changes after the source's restore reach the machines that do not read it") {
+TEST_CASE("changes after a restore of the source reach machines that do not read it") {
   Fixture mesh;
-  mesh.grow();
+  mesh.addFourMachines();
   mesh.source().revision = 100;
   mesh.publish();
   ++mesh.source().era;
   mesh.source().revision = 5;
   SUBCASE("through the readers") {}
-  SUBCASE("when a reader hears nothing of the restore") {
-    mesh.source().turned_away = {*mesh.readers().begin()};
+  SUBCASE("when one reader does not learn of the restore") {
+    mesh.source().refused_machines = {*mesh.readers().begin()};
+  }
+  SUBCASE("when no reader learns of the restore") {
+    mesh.source().refused_machines = mesh.readers();
   }
-  SUBCASE("when no reader does") { mesh.source().turned_away = mesh.readers(); }
   mesh.publish();
   mesh.source().servers[1].state = model::MachineState::kLeaving;
   mesh.source().servers[1].revision = Generation(7);
@@ -567,7 +570,7 @@
   CHECK(mesh.machine(1).received.empty());
 }
 
-TEST_CASE("a caller that leaves cancels the work at the server") {
+TEST_CASE("a caller's disconnect cancels the request at the server") {
   Fixture mesh;
   bool cancelled = false;
   std::vector<runtime::HttpResponder> held;
@@ -586,9 +589,9 @@
   CHECK(mesh.runUntil([&cancelled] { return cancelled; }));
 }
 
-TEST_CASE("an ingress that stands still is left, also by what may not be repeated") {
+TEST_CASE("requests fail over from a frozen ingress, also non-repeatable ones") {
   Fixture mesh;
-  // A third server of the service, whose machine accepts connections and does nothing.
+  // A third server of the service, on a machine that accepts connections but never responds.
   const Address frozen{"127.0.0.5", mesh.ingressPort()};
   asio::ip::tcp::acceptor acceptor(
       mesh.context(), asio::ip::tcp::endpoint(asio::ip::make_address(frozen.host), frozen.port));
@@ -596,10 +599,10 @@
   entry.id = EndpointId("i-frozen");
   entry.address = {frozen.host, 1};
   entry.revision = Generation(3);
-  mesh.moveServersAway();  // Dearer than the frozen one, which is therefore tried first.
+  mesh.moveServersToOtherZone();  // Makes the frozen server the nearest, so it is tried first.
   mesh.source().servers.push_back(entry);
   mesh.source().revision = 3;
-  // Until the entry is known, requests don't touch the frozen machine.
+  // Requests do not reach the frozen machine before its entry is known.
   const std::size_t before = mesh.arrivals();
   bool was_tried = false;
   acceptor.async_accept([&](const boost::system::error_code& error, asio::ip::tcp::socket socket) {
@@ -616,13 +619,14 @@
   CHECK(mesh.arrivals() == before + sent);
 }
 
-TEST_CASE("a node that starts while the source is away learns from the peers that reach it") {
+TEST_CASE(
+    "a node that starts while the source is down learns its state from peers that connect to it") {
   Fixture mesh;
-  mesh.moveServersAway();  // So that the new one is preferred, and reached.
+  mesh.moveServersToOtherZone();  // Makes peers prefer and contact the new one.
   mesh.addMachine("127.0.0.6", "stock");
   mesh.source().revision = 5;
   REQUIRE(mesh.runUntil([&] { return mesh.statusPage(0).find("known: 4") != std::string::npos; }));
-  mesh.source().is_away = true;
+  mesh.source().is_down = true;
   mesh.machine(3).node->start();
   CHECK(mesh.readiness(3) == 503);
   CHECK(mesh.runUntil([&] {
@@ -634,7 +638,7 @@
   CHECK(answer.status == 200);
 }
 
-TEST_CASE("a planned stop fails readiness, asks callers to close and ends clean") {
+TEST_CASE("a graceful stop fails readiness, asks callers to close and ends clean") {
   Fixture mesh;
   std::optional<StopOutcome> outcome;
   mesh.machine(0).node->stop([&outcome](StopOutcome stopped) { outcome = stopped; });
@@ -643,7 +647,7 @@
   CHECK(*outcome == StopOutcome::kClean);
 }
 
-TEST_CASE("a node without a client of a watchable source is refused with the remedy") {
+TEST_CASE("creating a node without a client of a watchable source fails with a remedy") {
   asio::io_context context;
   runtime::Settings settings;
   settings.two_hop.ingress_listen = {"127.0.0.1", 0};
