--- a/src/node/decision_fold.h
+++ b/src/node/decision_fold.h
@@ -44,8 +44,7 @@
   };
 
   std::uint32_t lines_per_second_;
-  std::map<Key, std::uint64_t>
-      counts_;  ///< Of this second, including decisions logged individually.
+  std::map<Key, std::uint64_t> counts_;  ///< All decisions of this second.
 };
 
 }  // namespace coursepond::node
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -39,7 +39,7 @@
 /// How a node ended.
 enum class StopOutcome {
   kClean,  ///< Every request in flight was answered.
-  kCut,    ///< The stop timed out, or a second stop was asked for: requests may have been cut.
+  kCut,    ///< The stop timed out, or a second stop was requested: requests may have been cut.
 };
 
 /// The listening addresses with the bound ports.
--- a/src/node/quota_exchange.cpp
+++ b/src/node/quota_exchange.cpp
@@ -34,13 +34,13 @@
 }
 
 Error unusable(const std::string& what) {
-  return Error{ErrorKind::kUnavailable, "unusable answer from a quota's owner: " + what,
+  return Error{ErrorKind::kUnavailable, "a quota's owner gave no usable answer: " + what,
                "none needed: another node is asked"};
 }
 
 Result<admission::QuotaGrant> interpret(const Result<runtime::HttpClientResponse>& response) {
   if (!response) return response.error();
-  if (response->status != kOk) return unusable("status " + std::to_string(response->status));
+  if (response->status != kOk) return unusable(std::to_string(response->status));
   const auto json = nlohmann::json::parse(response->body, nullptr, false);
   try {
     const bool is_grant =
--- a/src/node/quota_exchange.h
+++ b/src/node/quota_exchange.h
@@ -4,8 +4,7 @@
 ///   GET /v1/quota?needed=N&ahead=N&returned=N&stand_in=0|1 with the tenant's name in X-Tenant
 ///     200 with {"tokens": N, "wait_ms": MS};
 ///     404 if the node does not know the tenant or the tenant has no limit; the requesting node
-///     then
-///         asks another node.
+///         then asks another node.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
--- a/src/node/request_histograms.h
+++ b/src/node/request_histograms.h
@@ -31,9 +31,8 @@
   static prometheus::Histogram& find(Histograms& histograms, const proxy::Decision& decision);
   static std::vector<runtime::MetricSample> samplesOf(const Histograms& histograms);
 
-  Histograms
-      egress_seconds_;  ///< From the request's arrival to the head of its answer, over both hops.
-  Histograms queue_seconds_;  ///< Time at the ingress before the server.
+  Histograms egress_seconds_;  ///< From request arrival to answer head, over both hops.
+  Histograms queue_seconds_;   ///< Time at the ingress before the server.
 };
 
 }  // namespace coursepond::node
--- a/src/node/status_page.h
+++ b/src/node/status_page.h
@@ -31,8 +31,7 @@
   std::size_t requests_in_flight = 0;
   std::size_t peer_connections = 0;
   std::vector<proxy::ServerReport> servers;
-  std::string
-      last_rejection;  ///< Why configuration content was last rejected; empty if it was not.
+  std::string last_rejection;  ///< Reason of the last rejected configuration content, if any.
 };
 
 std::string renderStatusPage(const StatusReport& report);
--- a/tests/node/repeat_bound_test.cpp
+++ b/tests/node/repeat_bound_test.cpp
@@ -88,7 +88,8 @@
   }
 }
 
-TEST_CASE("the bound holds when only few runs make calls, but many each") {
+TEST_CASE(
+    "the bound holds when few runs make many calls, as repeated runs are admitted by their cost") {
   ServiceModel accounts{.name = "accounts", .servers = 6};
   accounts.calls = "transfers";
   accounts.calls_per_run = 6;
