--- a/src/source/held_servers.cpp
+++ b/src/source/held_servers.cpp
@@ -8,10 +8,12 @@
 namespace coursepond::source {
 namespace {
 
-/// Removals remembered: more than a whole zone that goes at once.
-constexpr std::size_t kMostRemovals = 512;
+/// Upper bound for remembered removals. Larger than a zone, all servers of which may be removed at
+/// once.
+constexpr std::size_t kMaxRemovals = 512;
 
-/// What is known of one start of a server by `held` and by the entry of a copy, which may be older.
+/// Merges two entries of the same start of a server: `held`, and `entry` from a restored source,
+/// which may be older. Leaving is final, and the remaining warm-up time never increases.
 model::ServerEntry mergeSameStart(const model::ServerEntry& held, model::ServerEntry entry) {
   const bool is_leaving = held.state == model::MachineState::kLeaving;
   if (is_leaving) entry.state = held.state;
@@ -26,10 +28,10 @@
   if (batch.revision.era < revision_.era) return changes;
   const bool is_first = revision_ == SourceRevision();
   const bool is_restored = !is_first && batch.revision.era > revision_.era;
-  // Who went before the first list is not known; nor are revisions of another era any use.
+  // Removals before the first list are unknown, and revisions of different eras cannot be compared.
   if (is_first || is_restored) forgotten_until_ = batch.revision;
   if (is_restored && is_complete) {
-    takeInCopy(batch, changes);
+    mergeRestoredList(batch, changes);
   } else {
     for (const model::ServerEntry& entry : batch.servers) put(entry, changes);
     for (const EndpointId& id : batch.removed_servers) remove(id, batch.revision, changes);
@@ -43,19 +45,20 @@
   const auto held = servers_.find(entry.id);
   if (held == servers_.end()) {
     const auto doubted = doubted_.find(entry.id);
-    const bool is_told_again = doubted != doubted_.end() && doubted->second == entry;
-    if (!is_told_again) store(entry, changes);
+    const bool is_unchanged = doubted != doubted_.end() && doubted->second == entry;
+    if (!is_unchanged) store(entry, changes);
     return;
   }
-  if (entry.revision.era > held->second.revision.era) return putOfCopy(entry, changes);
+  if (entry.revision.era > held->second.revision.era) return putAfterRestore(entry, changes);
   if (entry.revision < held->second.revision) return;
   unconfirmed_.erase(entry.id);
   if (held->second == entry) return;
   store(entry, changes);
 }
 
-/// An entry of a later era than the one held: by itself it doesn't tell whether it is newer.
-void HeldServers::putOfCopy(const model::ServerEntry& entry, ServerChanges& changes) {
+/// Handles an entry of a later era than the held one. The later era alone does not mean that the
+/// entry is newer: it may come from an old copy.
+void HeldServers::putAfterRestore(const model::ServerEntry& entry, ServerChanges& changes) {
   const model::ServerEntry& held = servers_.at(entry.id);
   if (isSameStart(held, entry)) return store(mergeSameStart(held, entry), changes);
   if (entry.started_ms >= held.started_ms) return store(entry, changes);
@@ -74,12 +77,12 @@
   unconfirmed_.erase(id);
   auto held = servers_.extract(id);
   if (held) changes.removed.push_back(id);
-  // Others may have been told of a doubted one, and use it.
+  // Other nodes may have received a doubted server from this node and use it.
   if (!held) held = doubted_.extract(id);
   if (!held) return;
   removals_.push_back({revision, std::move(held.mapped())});
   last_change_ = std::max(last_change_, revision);
-  if (removals_.size() > kMostRemovals) {
+  if (removals_.size() > kMaxRemovals) {
     forgotten_until_ = removals_.front().revision;
     removals_.pop_front();
   }
@@ -94,10 +97,10 @@
   }
 }
 
-void HeldServers::takeInCopy(const WatchBatch& batch, ServerChanges& changes) {
+void HeldServers::mergeRestoredList(const WatchBatch& batch, ServerChanges& changes) {
   doubted_.clear();
   for (const model::ServerEntry& entry : batch.servers) {
-    if (!servers_.contains(entry.id) && wentBefore(entry)) {
+    if (!servers_.contains(entry.id) && wasRemoved(entry)) {
       doubted_.emplace(entry.id, entry);
     } else {
       put(entry, changes);
@@ -106,9 +109,10 @@
   for (const EndpointId& id : model::unlistedIds(servers_, batch.servers)) unconfirmed_.insert(id);
 }
 
-/// Whether this start of a server was seen to go, and `entry` is no later word of it. Of a copy the
-/// order of the numbers holds as far back as the copy goes.
-bool HeldServers::wentBefore(const model::ServerEntry& entry) const {
+/// Returns whether this start of the server was already removed, and `entry` was not written after
+/// the removal. Revision numbers remain comparable across the restore for everything that the copy
+/// contains.
+bool HeldServers::wasRemoved(const model::ServerEntry& entry) const {
   return std::any_of(removals_.begin(), removals_.end(), [&entry](const Removal& removal) {
     return isSameStart(removal.entry, entry) && entry.revision.number <= removal.revision.number;
   });
--- a/src/source/held_servers.h
+++ b/src/source/held_servers.h
@@ -1,13 +1,13 @@
 #pragma once
 
-/// The servers that a node holds of a watched source, and who went, so that it can tell another
-/// node what changed after any recent revision.
+/// Holds a node's view of the servers of a watched source, and the recently removed servers, so
+/// that the node can send another node the changes since any recent revision.
 ///
-/// When the source was restored from a copy, its list is older than what is held:
-///   - a server that was leaving goes on leaving, until another start of it is listed;
-///   - a server that the copy lacks stays, unconfirmed, until it is written again or
-///     dropUnconfirmed() is called;
-///   - a server that went before, and that the copy still lists, is doubted: it is not used before
+/// After the source was restored from a copy, its list may be older than the held one:
+///   - a server that was leaving remains leaving until another start of it is listed;
+///   - a server that is missing in the copy is kept as unconfirmed until its entry is written again
+///     or dropUnconfirmed() is called;
+///   - a server that was removed, but is still listed by the copy, is doubted: it is not used until
 ///     its entry changes or acceptDoubted() is called.
 
 #include <cstddef>
@@ -24,7 +24,7 @@
 
 namespace coursepond::source {
 
-/// What an update means to whoever uses the servers. A server is in one of the two lists at most.
+/// The effect of an update on the servers in use. A server is in at most one of the two lists.
 struct ServerChanges {
   std::vector<model::ServerEntry> updated;
   std::vector<EndpointId> removed;
@@ -35,45 +35,46 @@
 
 class HeldServers {
  public:
-  /// Takes in what a read of the source or of a peer gave. `is_complete`: it lists all there are.
+  /// Applies the result of a read from the source or from a peer. `is_complete`: the batch lists
+  /// all servers.
   ServerChanges update(const WatchBatch& batch, bool is_complete);
 
-  /// Drops the servers of before a restore that were not written again.
+  /// Removes the servers from before a restore whose entries were not written again.
   ServerChanges dropUnconfirmed();
-  /// Takes in the servers that the copy listed and that are still listed.
+  /// Starts to use the doubted servers that the source still lists.
   ServerChanges acceptDoubted();
   std::size_t unconfirmed() const { return unconfirmed_.size(); }
   std::size_t doubted() const { return doubted_.size(); }
 
-  /// What a node that knows all servers up to `after` does not know of them. Complete when the
-  /// removals after that revision are no longer remembered, or `after` is of an earlier era.
-  /// Unconfirmed servers are left out: each node waits for them by itself.
+  /// Returns the changes since `after`. The update is complete when the removals since that
+  /// revision are no longer remembered, or when `after` is of an earlier era. Unconfirmed servers
+  /// are left out: each node waits for their entries by itself.
   StateUpdate since(SourceRevision after) const;
   bool hasSince(SourceRevision after) const;
 
-  /// Up to which revision of the source the servers are known.
+  /// The revision of the source up to which the servers are known.
   SourceRevision revision() const { return revision_; }
 
  private:
   struct Removal {
-    SourceRevision revision;  ///< At or before which the server went.
+    SourceRevision revision;  ///< The server was removed at or before it.
     model::ServerEntry entry;
   };
 
   void put(const model::ServerEntry& entry, ServerChanges& changes);
-  void putOfCopy(const model::ServerEntry& entry, ServerChanges& changes);
+  void putAfterRestore(const model::ServerEntry& entry, ServerChanges& changes);
   void remove(const EndpointId& id, SourceRevision revision, ServerChanges& changes);
   void removeUnlisted(const WatchBatch& batch, ServerChanges& changes);
-  void takeInCopy(const WatchBatch& batch, ServerChanges& changes);
+  void mergeRestoredList(const WatchBatch& batch, ServerChanges& changes);
   void store(const model::ServerEntry& entry, ServerChanges& changes);
-  bool wentBefore(const model::ServerEntry& entry) const;
+  bool wasRemoved(const model::ServerEntry& entry) const;
 
   SourceRevision revision_;
   SourceRevision last_change_;
   SourceRevision forgotten_until_;  ///< Removals up to this revision are no longer remembered.
   std::map<EndpointId, model::ServerEntry> servers_;
-  std::set<EndpointId> unconfirmed_;                  ///< Of `servers_`.
-  std::map<EndpointId, model::ServerEntry> doubted_;  ///< None of `servers_`.
+  std::set<EndpointId> unconfirmed_;                  ///< Subset of `servers_`.
+  std::map<EndpointId, model::ServerEntry> doubted_;  ///< Disjoint from `servers_`.
   std::deque<Removal> removals_;                      ///< Oldest first.
 };
 
--- a/src/source/held_state.cpp
+++ b/src/source/held_state.cpp
@@ -9,7 +9,7 @@
   bool has_changed = zones_.update(batch, configuration_revision_);
   if (has_changed) zones_changed_ = std::max(zones_changed_, batch.revision);
   for (const ConfigurationPointer& configuration : batch.configurations) {
-    if (hold(configuration)) has_changed = true;
+    if (addVersion(configuration)) has_changed = true;
   }
   configuration_revision_ = std::max(configuration_revision_, batch.revision);
   countRestore(before, configuration_revision_);
@@ -44,19 +44,19 @@
   return zones_.settle();
 }
 
-bool HeldState::hold(const ConfigurationPointer& configuration) {
+bool HeldState::addVersion(const ConfigurationPointer& configuration) {
   if (configuration->version <= version()) return false;
   configurations_.push_back(configuration);
-  forgetVersions();
+  dropOldVersions();
   return true;
 }
 
 void HeldState::rememberVersions(std::size_t count) {
   remembered_versions_ = std::max<std::size_t>(count, 1);
-  forgetVersions();
+  dropOldVersions();
 }
 
-void HeldState::forgetVersions() {
+void HeldState::dropOldVersions() {
   while (configurations_.size() > remembered_versions_) configurations_.pop_front();
 }
 
--- a/src/source/held_state.h
+++ b/src/source/held_state.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// What a node holds of a watched source, kept so that it can tell another node what changed after
-/// any recent revision: the servers, who went, and the last versions of the configuration. A
-/// version never goes back, also when the source was restored from an older copy.
+/// Holds a node's view of a watched source: the servers, the recently removed servers, the drained
+/// zones and the last versions of the configuration. From it the node can send another node the
+/// changes since any recent revision. The version never decreases, even when the source was
+/// restored from an older copy.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,48 +22,49 @@
 
 class HeldState {
  public:
-  /// Takes in what a read of the source or of a peer gave about the servers.
+  /// Applies the servers of a read from the source or from a peer.
   ServerChanges updateServers(const WatchBatch& batch, bool is_complete);
-  /// The same for the configuration and the drained zones. Of an era before the one held, only
-  /// versions count. Returns whether something changed.
+  /// Applies the configuration and the drained zones. From a batch of an earlier era than the held
+  /// one, only newer versions are applied. Returns whether anything changed.
   bool updateConfiguration(const WatchBatch& batch);
 
-  /// See HeldServers and HeldZones: what was held across a restore, and that the source has not
-  /// told again, counts no more.
+  /// End the special treatment of what was held when the source was restored, and was not written
+  /// again since. See HeldServers and HeldZones.
   ServerChanges dropUnconfirmedServers();
   ServerChanges acceptDoubtedServers();
   bool settleZones();
 
-  /// How many versions deltas can start from, the newest included. Whoever holds an older one is
-  /// told the whole configuration.
+  /// Sets how many versions, the newest included, are kept as bases of deltas. A node with an older
+  /// version is sent the whole configuration.
   void rememberVersions(std::size_t count);
 
-  /// What a node that knows all servers up to `after` does not know of them.
+  /// Returns the changes of servers since `after`.
   StateUpdate serversSince(SourceRevision after) const { return servers_.since(after); }
   bool hasServersSince(SourceRevision after) const { return servers_.hasSince(after); }
-  /// The drained zones, and the configuration when it is newer than `version`: as a difference
-  /// where that version is remembered.
+  /// Returns the drained zones, and the configuration if it is newer than `version`: as a delta if
+  /// that version is still kept.
   StateUpdate configurationSince(Version version) const;
-  /// Whether a node that holds `version` and knows the drained zones up to `after` lacks something.
+  /// Returns whether a node that holds `version` and knows the drained zones up to `after` is
+  /// stale.
   bool hasConfigurationSince(Version version, SourceRevision after) const {
     return this->version() > version || zones_changed_ > after;
   }
 
-  /// Up to which revision of the source the topic is known.
+  /// The revision of the source up to which the topic is known.
   SourceRevision revision(Topic topic) const {
     return topic == Topic::kServers ? servers_.revision() : configuration_revision_;
   }
-  /// Rises whenever what is told of the topic changes, its revision included.
+  /// Increases whenever the state that is sent for the topic changes, its revision included.
   std::uint64_t edition(Topic topic) const {
     return topic == Topic::kServers ? servers_edition_ : configuration_edition_;
   }
   const HeldServers& servers() const { return servers_; }
-  /// Restores of the source that were seen; one counts once for each topic.
+  /// Number of observed restores of the source. Each restore is counted once per topic.
   std::uint64_t restores() const { return restores_; }
   Version version() const { return configurations_.empty() ? Version() : newest()->version; }
-  /// Nothing is sent to servers in these.
+  /// The zones whose servers get no requests.
   const std::set<ZoneId>& drainedZones() const { return zones_.drained(); }
-  /// The newest configuration; null before the first.
+  /// The newest configuration, or null before the first.
   ConfigurationPointer configuration() const {
     return configurations_.empty() ? nullptr : newest();
   }
@@ -70,13 +72,13 @@
  private:
   const ConfigurationPointer& newest() const { return configurations_.back(); }
   void countRestore(SourceRevision before, SourceRevision after);
-  bool hold(const ConfigurationPointer& configuration);
-  void forgetVersions();
+  bool addVersion(const ConfigurationPointer& configuration);
+  void dropOldVersions();
   ConfigurationPointer find(Version version) const;
 
   HeldServers servers_;
   HeldZones zones_;
-  SourceRevision zones_changed_;  ///< Up to which the last change of the drained zones was told.
+  SourceRevision zones_changed_;  ///< Revision of the batch that last changed the drained zones.
   SourceRevision configuration_revision_;
   std::uint64_t restores_ = 0;
   std::uint64_t servers_edition_ = 0;
--- a/src/source/held_zones.cpp
+++ b/src/source/held_zones.cpp
@@ -10,7 +10,7 @@
     list(batch, known);
   } else {
     for (const ZoneChange& change : batch.zone_changes) {
-      kept_.erase(change.zone);
+      overrides_.erase(change.zone);
       if (change.is_drained) {
         listed_.insert(change.zone);
       } else {
@@ -30,8 +30,8 @@
   if (is_restored) {
     keepAcrossRestore(listed, known);
   } else {
-    // Where the source's word has changed since, somebody wrote again.
-    std::erase_if(kept_, [&](const auto& item) {
+    // A zone whose listed state has changed was written again: its override ends.
+    std::erase_if(overrides_, [&](const auto& item) {
       return listed.contains(item.first) != listed_.contains(item.first);
     });
   }
@@ -41,25 +41,25 @@
 
 void HeldZones::keepAcrossRestore(const std::map<ZoneId, SourceRevision>& listed,
                                   SourceRevision known) {
-  kept_.clear();
+  overrides_.clear();
   for (const ZoneId& zone : drained_) {
-    if (!listed.contains(zone)) kept_[zone] = true;
+    if (!listed.contains(zone)) overrides_[zone] = true;
   }
   for (const auto& [zone, revision] : listed) {
-    // Written after all that was known here, so that it is no word of before.
-    const bool is_news = revision == SourceRevision() || revision.number > known.number;
-    if (!drained_.contains(zone) && !is_news) kept_[zone] = false;
+    // Written after everything this node knew: a new write, not an old state from the copy.
+    const bool is_newer = revision == SourceRevision() || revision.number > known.number;
+    if (!drained_.contains(zone) && !is_newer) overrides_[zone] = false;
   }
 }
 
 bool HeldZones::settle() {
-  kept_.clear();
+  overrides_.clear();
   return refresh();
 }
 
 bool HeldZones::refresh() {
   std::set<ZoneId> drained = listed_;
-  for (const auto& [zone, is_drained] : kept_) {
+  for (const auto& [zone, is_drained] : overrides_) {
     if (is_drained) {
       drained.insert(zone);
     } else {
--- a/src/source/held_zones.h
+++ b/src/source/held_zones.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// The zones that operators drained, as a node holds them of a watched source. When the source was
-/// restored from a copy, what was held stands until an operator writes again or settle() is called:
-/// the copy may lack a drained zone, or still name one that was taken back.
+/// Holds a node's view of the zones that operators drained in a watched source. After the source
+/// was restored from a copy, the held state of a zone remains in effect until an operator writes
+/// the zone again or settle() is called: the copy may lack a drained zone, or still list one whose
+/// drain was cancelled.
 
 #include <map>
 #include <set>
@@ -15,25 +16,27 @@
 
 class HeldZones {
  public:
-  /// Takes in what a read gave. `known`: up to which revision this node knew the source before.
-  /// Returns whether other zones are drained by it.
+  /// Applies the result of a read. `known`: the revision up to which this node knew the source
+  /// before. Returns whether the set of drained zones changed.
   bool update(const WatchBatch& batch, SourceRevision known);
-  /// The source's own word counts from now on. Returns whether other zones are drained by it.
+  /// Drops the states held across a restore: only the source's state counts from now on. Returns
+  /// whether the set of drained zones changed.
   bool settle();
 
-  /// Nothing is sent to servers in these.
+  /// The zones whose servers get no requests.
   const std::set<ZoneId>& drained() const { return drained_; }
-  /// Whether what is held differs from what the restored source told.
-  bool isSettling() const { return !kept_.empty(); }
+  /// Returns whether states held across a restore still override the source's.
+  bool isSettling() const { return !overrides_.empty(); }
 
  private:
   void list(const WatchBatch& batch, SourceRevision known);
   void keepAcrossRestore(const std::map<ZoneId, SourceRevision>& listed, SourceRevision known);
   bool refresh();
 
-  std::set<ZoneId> listed_;      ///< Drained by the source's word.
-  std::map<ZoneId, bool> kept_;  ///< Drained or not by what was held before a restore.
-  std::set<ZoneId> drained_;     ///< By both.
+  std::set<ZoneId> listed_;           ///< Drained according to the source.
+  std::map<ZoneId, bool> overrides_;  ///< Whether drained: states from before a restore that
+                                      ///< override `listed_`.
+  std::set<ZoneId> drained_;          ///< `listed_` with `overrides_` applied.
 };
 
 }  // namespace coursepond::source
--- a/src/source/peer_reader.cpp
+++ b/src/source/peer_reader.cpp
@@ -8,12 +8,12 @@
 namespace coursepond::source {
 namespace {
 
-/// More peers than that tell nothing new.
-constexpr std::size_t kMostPeers = 256;
-/// Peers of askSome(): a few may be away, or have started a moment ago.
-constexpr std::size_t kSomePeers = 3;
+/// Upper bound for remembered peers. More would not provide any newer state.
+constexpr std::size_t kMaxPeers = 256;
+/// Number of peers that askSome() asks: some may be unreachable or have just started.
+constexpr std::size_t kPeersAskedAtOnce = 3;
 
-/// The version that the update leads to; none when it tells no other.
+/// Returns the version that the update leads to, or none if it contains no configuration.
 Version versionOf(const StateUpdate& update) {
   if (update.configuration) return update.configuration->version;
   return update.delta ? update.delta->target_version : Version();
@@ -32,7 +32,7 @@
 PeerReader::~PeerReader() { environment_.cancel(timer_); }
 
 void PeerReader::notePeer(const std::string& host) {
-  if (peers_.size() < kMostPeers) peers_.insert(host);
+  if (peers_.size() < kMaxPeers) peers_.insert(host);
 }
 
 void PeerReader::onSourceFailed(Topic topic) {
@@ -56,18 +56,18 @@
   const auto half = static_cast<std::uint64_t>(settings_.interval.count() / 2);
   schedule(Duration(static_cast<Duration::rep>(half + environment_.random(half + 1))));
   if (peers_.empty()) return;
-  const std::string peer = anyPeer();
+  const std::string peer = randomPeer();
   for (const Topic topic : failing_) askAbout(topic, peer);
 }
 
 void PeerReader::askAbout(Topic topic, const std::string& peer) {
-  if (!asked_about_.insert(topic).second) return;
-  read(topic, peer, [this, topic] { asked_about_.erase(topic); });
+  if (!in_flight_.insert(topic).second) return;
+  read(topic, peer, [this, topic] { in_flight_.erase(topic); });
 }
 
 void PeerReader::askSome(Topic topic) {
   std::vector<std::string> peers(peers_.begin(), peers_.end());
-  for (std::size_t left = std::min(kSomePeers, peers.size()); left > 0; --left) {
+  for (std::size_t left = std::min(kPeersAskedAtOnce, peers.size()); left > 0; --left) {
     const std::size_t index = environment_.random(peers.size());
     read(topic, peers[index], [] {});
     peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(index));
@@ -87,19 +87,20 @@
       });
 }
 
-/// A version counts whatever revision it was told at: it never goes back.
-bool PeerReader::isNews(Topic topic, const StateUpdate& update) const {
-  const bool has_version = topic == Topic::kConfiguration && versionOf(update) > held_.version();
-  return has_version || update.revision > held_.revision(topic);
+/// A higher version is newer whatever revision it is sent with, since versions never decrease.
+bool PeerReader::isNewer(Topic topic, const StateUpdate& update) const {
+  const bool has_newer_version =
+      topic == Topic::kConfiguration && versionOf(update) > held_.version();
+  return has_newer_version || update.revision > held_.revision(topic);
 }
 
 void PeerReader::onAnswer(Topic topic, const Result<std::optional<StateUpdate>>& answer) {
-  if (!answer || !answer->has_value() || !isNews(topic, **answer)) return;
+  if (!answer || !answer->has_value() || !isNewer(topic, **answer)) return;
   ++learned_;
   on_state_(topic, **answer);
 }
 
-const std::string& PeerReader::anyPeer() {
+const std::string& PeerReader::randomPeer() {
   return *std::next(peers_.begin(),
                     static_cast<std::ptrdiff_t>(environment_.random(peers_.size())));
 }
--- a/src/source/peer_reader.h
+++ b/src/source/peer_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Asks other nodes for what they know while this node's own reads of the source fail: after a
-/// start the source may be away, and then only a peer can tell what is in force.
+/// Asks other nodes for their state while this node's own reads of the source fail. If the source
+/// is unavailable when a node starts, only a peer can provide the configuration in force.
 
 #include <cstdint>
 #include <functional>
@@ -17,40 +17,40 @@
 
 namespace coursepond::source {
 
-/// What a node asks another.
+/// A request for another node's state.
 struct PeerQuestion {
   Topic topic = Topic::kServers;
-  SourceRevision after;  ///< The servers, or the drained zones, are known up to here.
-  Version version;       ///< kConfiguration: this one is held.
-  /// How long the answer may wait for a change.
+  SourceRevision after;  ///< The asker knows the servers or the drained zones up to it.
+  Version version;       ///< kConfiguration: the version that the asker holds.
+  /// Maximum time for which the peer may delay its answer until there is a change.
   Duration wait{};
-  /// Only a peer that reads the source itself shall answer; others refuse (kOverloaded).
+  /// Only a peer whose state is as new as the source's may answer; others refuse (kOverloaded).
   bool only_fresh = false;
 };
 
-/// Nothing when the peer knows nothing newer.
+/// Receives an empty optional when the peer has nothing newer.
 using PeerStateCallback = std::function<void(Result<std::optional<StateUpdate>>)>;
 
-/// Calls back exactly once, never from inside the call.
+/// Reads the state of other nodes. Calls back exactly once, never from inside the call.
 class PeerStateClient {
  public:
   virtual ~PeerStateClient() = default;
-  /// Asks the node on `host` for what it knows beyond what `question` says is held.
+  /// Asks the node on `host` for everything newer than what `question` says the asker holds.
   virtual void read(const std::string& host, const PeerQuestion& question, Duration timeout,
                     PeerStateCallback callback) = 0;
 };
 
 struct PeerReaderSettings {
-  /// How long the source may fail before a peer is asked.
+  /// Time for which the source may fail before a peer is asked.
   Duration patience = std::chrono::milliseconds(300);
-  /// Between two questions; half of it is jitter.
+  /// Maximum interval between two questions; half of it is jitter.
   Duration interval = std::chrono::milliseconds(300);
   Duration timeout = std::chrono::milliseconds(500);
 };
 
 class PeerReader {
  public:
-  /// Told what a peer knows beyond `held`.
+  /// Called with a peer's state that is newer than `held`.
   using StateHandler = std::function<void(Topic topic, const StateUpdate& update)>;
 
   /// `client`, `held` and `environment` must outlive the reader.
@@ -60,16 +60,17 @@
   PeerReader(const PeerReader&) = delete;
   PeerReader& operator=(const PeerReader&) = delete;
 
-  /// A machine that runs a node. Nodes that connect to this one are found so, even by a node that
-  /// knows of no machine yet.
+  /// Adds a machine that runs a node. Called also for nodes that connect to this one, so that a
+  /// node that does not know any machine yet finds peers.
   void notePeer(const std::string& host);
-  /// The source failed a read of `topic`, or answered one. Peers are asked about what fails.
+  /// Called when a read of `topic` from the source failed or succeeded. Peers are asked about the
+  /// topics whose reads fail.
   void onSourceFailed(Topic topic);
   void onSourceAnswered(Topic topic);
-  /// Asks a few peers at once, whatever the source answers: one that was restored may have lost a
-  /// version that a peer holds.
+  /// Asks a few peers at once, even while the source answers: a restored source may have lost a
+  /// version that a peer still holds.
   void askSome(Topic topic);
-  /// Asks this peer, unless a question about the topic is on its way.
+  /// Asks `peer`, unless a question about the topic is in flight.
   void askAbout(Topic topic, const std::string& peer);
 
   std::uint64_t asked() const { return asked_; }
@@ -79,9 +80,9 @@
   void schedule(Duration delay);
   void ask();
   void read(Topic topic, const std::string& peer, std::function<void()> on_answered);
-  bool isNews(Topic topic, const StateUpdate& update) const;
+  bool isNewer(Topic topic, const StateUpdate& update) const;
   void onAnswer(Topic topic, const Result<std::optional<StateUpdate>>& answer);
-  const std::string& anyPeer();
+  const std::string& randomPeer();
 
   PeerReaderSettings settings_;
   PeerStateClient& client_;
@@ -91,8 +92,9 @@
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   std::set<std::string> peers_;
   TimerId timer_ = 0;
-  std::set<Topic> asked_about_;  ///< A question is on its way: its answer may be large.
-  std::set<Topic> failing_;      ///< While there is one, a question is scheduled or on its way.
+  /// Topics with a question in flight: at most one each, since answers may be large.
+  std::set<Topic> in_flight_;
+  std::set<Topic> failing_;  ///< While not empty, a question is scheduled or in flight.
   std::uint64_t asked_ = 0;
   std::uint64_t learned_ = 0;
 };
--- a/src/source/platform_client.h
+++ b/src/source/platform_client.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The platform's read-only service, as decision classes see it. runtime::HttpPlatformClient
-/// speaks to the real one; the simulator has its own.
+/// Interface to the platform's read-only service. runtime::HttpPlatformClient connects to the real
+/// service; the simulator has an implementation of its own.
 ///
 /// Published protocol (HTTP/1.1, GET only, JSON, `ETag`/`If-None-Match` on each):
 ///   /v1/configurations            {"newest": 7}
@@ -19,7 +19,7 @@
 
 namespace coursepond::source {
 
-/// What a conditional read gave: nothing new, or a body with its entity tag.
+/// The result of a conditional read: not modified, or a body with its entity tag.
 struct PlatformAnswer {
   bool not_modified = false;
   std::string entity_tag;
@@ -32,7 +32,7 @@
 class PlatformClient {
  public:
   virtual ~PlatformClient() = default;
-  /// `entity_tag` empty: unconditional.
+  /// An empty `entity_tag` makes the read unconditional.
   virtual void readNewest(const std::string& entity_tag, PlatformCallback callback) = 0;
   virtual void readConfiguration(Version version, PlatformCallback callback) = 0;
   virtual void readMachines(const std::string& entity_tag, PlatformCallback callback) = 0;
--- a/src/source/reader_choice.cpp
+++ b/src/source/reader_choice.cpp
@@ -13,9 +13,9 @@
   return membership::rankOf(membership::stableHash(machine.host), membership::kReaderSalt);
 }
 
-/// A machine and how many of its own zone go before it.
+/// A machine and its position among the machines of its zone, by rank.
 struct Candidate {
-  std::size_t turn = 0;
+  std::size_t zone_index = 0;
   std::uint64_t rank = 0;
   const NodeMachine* machine = nullptr;
 };
@@ -29,17 +29,20 @@
     return std::tie(left.rank, left.machine->host) < std::tie(right.rank, right.machine->host);
   };
   std::sort(candidates.begin(), candidates.end(), by_rank);
-  std::map<ZoneId, std::size_t> turns;
-  for (Candidate& candidate : candidates) candidate.turn = turns[candidate.machine->zone]++;
-  const auto by_turn = [](const Candidate& left, const Candidate& right) {
-    return left.turn < right.turn;
+  std::map<ZoneId, std::size_t> next_zone_index;
+  for (Candidate& candidate : candidates)
+    candidate.zone_index = next_zone_index[candidate.machine->zone]++;
+  const auto by_zone_index = [](const Candidate& left, const Candidate& right) {
+    return left.zone_index < right.zone_index;
   };
-  std::stable_sort(candidates.begin(), candidates.end(), by_turn);
+  std::stable_sort(candidates.begin(), candidates.end(), by_zone_index);
   return candidates;
 }
 
-/// How many parts of at most `size` make up `whole`.
-std::size_t partsOf(std::size_t whole, std::size_t size) { return (whole + size - 1) / size; }
+/// Returns the number of parts of at most `size` that `whole` divides into.
+std::size_t divideRoundingUp(std::size_t whole, std::size_t size) {
+  return (whole + size - 1) / size;
+}
 
 bool contains(const std::vector<NodeMachine>& machines, const NodeMachine& machine) {
   return std::find(machines.begin(), machines.end(), machine) != machines.end();
@@ -78,11 +81,11 @@
 ReaderPlan planReaders(std::span<const NodeMachine> machines,
                        const ReaderChoiceSettings& settings) {
   const std::size_t per_reader = std::max<std::size_t>(settings.nodes_per_reader, 1);
-  const std::size_t least = std::min(machines.size(), settings.least_readers);
-  const std::size_t needed = partsOf(machines.size(), per_reader);
-  const bool has_relays = needed > least;
+  const std::size_t min_readers = std::min(machines.size(), settings.min_readers);
+  const std::size_t needed = divideRoundingUp(machines.size(), per_reader);
+  const bool has_relays = needed > min_readers;
   const std::size_t relays = has_relays ? needed : 0;
-  const std::size_t readers = std::max(least, partsOf(relays, per_reader));
+  const std::size_t readers = std::max(min_readers, divideRoundingUp(relays, per_reader));
   ReaderPlan plan;
   for (const Candidate& candidate : candidatesByRank(machines)) {
     if (plan.readers.size() < readers) {
--- a/src/source/reader_choice.h
+++ b/src/source/reader_choice.h
@@ -1,13 +1,11 @@
 #pragma once
 
-/// Which machines read the source for all, and which relay what they read, by computation: every
-/// node that knows the same machines names the same ones. Nodes that differ for a moment only read
-/// once more than needed.
+/// Chooses the machines that read the source on behalf of all nodes, and those that relay what the
+/// readers read. The choice is a pure computation: nodes that know the same machines choose the
+/// same ones. Nodes whose lists of machines differ for a moment only cause redundant reads.
 ///
-/// The load that this answers: each reader's reads are paid for whatever the fleet's size, so that
-/// their number follows what may fail at once and not the number of nodes. With this and with
-/// ReaderDiscovery, 984 nodes made 725 reads in a day in which one reader for 24 nodes, and whole
-/// lists at each start, made 9,114.
+/// Each read of the source has a cost, whatever the size of the fleet. The number of readers
+/// therefore follows from how many may fail at the same time, not from the number of nodes.
 
 #include <cstddef>
 #include <map>
@@ -23,58 +21,60 @@
 
 /// A machine that runs a node.
 struct NodeMachine {
-  std::string host;  ///< IP number.
+  std::string host;  ///< IP address.
   ZoneId zone;
   friend bool operator==(const NodeMachine&, const NodeMachine&) = default;
 };
 
-/// Collects the machines of servers, one for each.
+/// Collects the distinct machines on which servers run.
 class MachineCollector {
  public:
-  /// A server that is leaving names no machine.
+  /// Adds the machine of `server`, unless the server is leaving.
   void add(const model::ServerEntry& server) {
     if (server.state != model::MachineState::kLeaving) zones_[server.address.host] = server.zone;
   }
   std::vector<NodeMachine> machines() const;
 
  private:
-  std::map<std::string, ZoneId> zones_;  ///< By IP number.
+  std::map<std::string, ZoneId> zones_;  ///< Keyed by IP address.
 };
 
 struct ReaderChoiceSettings {
-  /// Nodes that one reader or relay answers. Each costs it a kept connection and one small answer
-  /// per wait.
+  /// Upper bound for the nodes that one reader or relay answers. Each node costs it an open
+  /// connection and one small answer per wait.
   std::size_t nodes_per_reader = 24;
-  /// Two may fail while a third still answers. Fewer machines than this all read for themselves.
-  std::size_t least_readers = 3;
+  /// Minimum number of readers: two may fail while the third still answers. In a fleet with fewer
+  /// machines, all read the source themselves.
+  std::size_t min_readers = 3;
 };
 
-/// What a node does so that all know what the source says.
+/// A node's role in distributing the state of the source.
 enum class ReaderRole {
   kReader,    ///< Reads the source.
-  kRelay,     ///< Waits for changes at a reader, and others wait at it.
-  kFollower,  ///< Waits for changes at a relay; at a reader where there are no relays.
+  kRelay,     ///< Waits for changes at a reader; followers wait for changes at it.
+  kFollower,  ///< Waits for changes at a relay, or at a reader if there are no relays.
 };
 
-/// The word for logs: "reader".
+/// Returns the name of the role in logs, such as "reader".
 std::string_view roleWord(ReaderRole role);
 
 struct ReaderPlan {
   std::vector<NodeMachine> readers;
-  /// None while the readers can answer all other nodes.
+  /// Empty while the readers can answer all other nodes.
   std::vector<NodeMachine> relays;
 
   ReaderRole roleOf(const NodeMachine& machine) const;
-  /// Who is asked by a node of this role.
+  /// Returns the machines that a node with this role asks.
   const std::vector<NodeMachine>& parentsOf(ReaderRole role) const;
 };
 
-/// The readers and relays among `machines` (in any order, without repeats): as many as the settings
-/// say, one zone after the other, so that no cut of a zone takes them all.
+/// Chooses the readers and relays among `machines` (in any order, without duplicates). Zones take
+/// turns, so that the loss of one zone does not remove all readers.
 ReaderPlan planReaders(std::span<const NodeMachine> machines, const ReaderChoiceSettings& settings);
 
-/// `readers` without `own`, in the order in which `own` asks them: its own zone's first, each node
-/// in an order of its own, so that a reader's nodes spread over the others when it fails.
+/// Returns `readers` without `own`, in the order in which `own` asks them: those of its own zone
+/// first. The order differs from node to node, so that the nodes of a failed reader spread over the
+/// other readers.
 std::vector<std::string> askingOrder(const NodeMachine& own, std::span<const NodeMachine> readers);
 
 }  // namespace coursepond::source
--- a/src/source/reader_discovery.cpp
+++ b/src/source/reader_discovery.cpp
@@ -39,8 +39,8 @@
 void ReaderDiscovery::onSample(const Result<WatchBatch>& sample) {
   if (!sample) return finish({});
   const std::vector<NodeMachine> machines = machinesOf(sample->servers);
-  if (machines.empty() && samples_ < settings_.most_samples) {
-    environment_.schedule(settings_.sample_again, [this, alive = std::weak_ptr<int>(alive_)] {
+  if (machines.empty() && samples_ < settings_.max_samples) {
+    environment_.schedule(settings_.sample_retry_delay, [this, alive = std::weak_ptr<int>(alive_)] {
       if (!alive.expired()) takeSample();
     });
     return;
@@ -49,15 +49,16 @@
   const ReaderPlan plan = planReaders(machines, {});
   const ReaderRole role = plan.roleOf(own_);
   if (role == ReaderRole::kReader) return finish({});
-  to_ask_ = askingOrder(own_, plan.parentsOf(role));
+  candidates_ = askingOrder(own_, plan.parentsOf(role));
   askNext();
 }
 
 void ReaderDiscovery::askNext() {
-  if (asked_ >= std::min(to_ask_.size(), settings_.most_peers)) return finish({});
-  // Whatever it knows will do: whether that is the newest matters only to what is put in force.
+  if (asked_ >= std::min(candidates_.size(), settings_.max_peers)) return finish({});
+  // A stale answer is good enough: only the machines are needed from it, and it is never put in
+  // force.
   peers_.read(
-      to_ask_[asked_++], PeerQuestion{}, settings_.peer_timeout,
+      candidates_[asked_++], PeerQuestion{}, settings_.peer_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const Result<std::optional<StateUpdate>>& answer) {
         if (!alive.expired()) onPeerAnswer(answer);
       });
--- a/src/source/reader_discovery.h
+++ b/src/source/reader_discovery.h
@@ -1,14 +1,16 @@
 #pragma once
 
-/// How a node that has just started, and knows no other, finds the machines among which the readers
-/// of the source are chosen, without a whole read of the source: those of all nodes of a fleet that
-/// starts grow with the square of its size (at 200 servers a page, five pages for each of 984).
+/// Finds the machines among which the readers of the source are chosen, for a node that has just
+/// started and does not know any other node. It avoids a complete list of the source: when a whole
+/// fleet starts, the cost of such lists grows with the square of the fleet's size (with 200 servers
+/// per page, five pages for each of 984 nodes).
 ///
-///   1. It samples the source: some servers, and so the machines of some nodes.
-///   2. Where that was not all, it asks the ones that would be chosen among those for all servers.
-///      If it would be chosen as a reader itself, it reads the source: others ask it.
+///   1. The node reads a sample of the servers from the source, and so learns of some machines.
+///   2. If the sample was not complete, the node asks the machines that would be chosen as parents
+///      among the sampled ones for all servers. If it would be chosen as a reader itself, it reads
+///      the source, since other nodes ask it.
 ///
-/// What it learns so may be old, and is used for nothing but to choose whom to ask.
+/// The result may be stale, and is used only to choose which nodes to ask.
 
 #include <functional>
 #include <memory>
@@ -23,21 +25,22 @@
 namespace coursepond::source {
 
 struct DiscoverySettings {
-  /// A sample, or a peer's answer, that takes longer is not waited for: the source is read then.
+  /// Timeout for the sample. When it expires, the node reads the source instead.
   Duration sample_timeout = std::chrono::milliseconds(300);
-  /// The same for a peer, which may wait for its own first answer.
+  /// Timeout for a peer's answer. Longer, since the peer may wait for its own first answer.
   Duration peer_timeout = std::chrono::milliseconds(600);
-  /// A peer that does not know is left for the next, so often.
-  std::size_t most_peers = 3;
-  /// Nothing is listed yet when a whole fleet starts: the sample is taken again after this,
-  Duration sample_again = std::chrono::milliseconds(400);
-  /// so often.
-  std::size_t most_samples = 5;
+  /// Upper bound for the peers that are asked, one after the other.
+  std::size_t max_peers = 3;
+  /// Delay before another sample after an empty one: when a whole fleet starts, the source does not
+  /// list any server yet.
+  Duration sample_retry_delay = std::chrono::milliseconds(400);
+  /// Upper bound for the number of samples.
+  std::size_t max_samples = 5;
 };
 
 class ReaderDiscovery {
  public:
-  /// The machines that were found; none when the source has to be read.
+  /// Called with the machines found, or with none when the source has to be read.
   using FoundHandler = std::function<void(const std::vector<NodeMachine>& machines)>;
 
   /// `source`, `peers` and `environment` must outlive the discovery.
@@ -59,10 +62,10 @@
   WatchClient& source_;
   PeerStateClient& peers_;
   Environment& environment_;
-  /// Callbacks hold a weak reference: they end with the discovery.
+  /// Callbacks hold a weak reference, and do nothing once the discovery is destroyed.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   FoundHandler on_found_;
-  std::vector<std::string> to_ask_;
+  std::vector<std::string> candidates_;
   std::size_t asked_ = 0;
   std::size_t samples_ = 0;
 };
--- a/src/source/relay_client.cpp
+++ b/src/source/relay_client.cpp
@@ -7,25 +7,28 @@
 namespace coursepond::source {
 namespace {
 
-/// Nodes that read the configuration at a time, of all whose readers take no questions. Enough that
-/// the others, which ask each other several times a second, hear of a version within one; that none
-/// of them does has a chance of one in 400 a turn.
-constexpr double kStandIns = 6;
+/// Expected number of nodes that read the configuration from the source at the same time while all
+/// readers fail. The other nodes ask each other several times per second, so that with this many
+/// they learn of a new version within a second. The probability that no node reads in a given round
+/// is one in 400.
+constexpr double kExpectedFallbackReaders = 6;
 
 Error earlierEraError() {
-  return Error{ErrorKind::kOverloaded, "the peer has not heard yet that the source was restored",
-               "another peer is asked"};
+  return Error{ErrorKind::kOverloaded, "the peer does not know yet that the source was restored",
+               "none needed: another peer is asked"};
 }
 
-/// A large version may take seconds to arrive, and tells what the source held when it was asked.
-void addTimeOnWay(WatchBatch& batch, Duration since_asked) {
+/// Adds the transfer time to the age of a batch with a configuration: a large one may take seconds
+/// to arrive, and reflects the state of the source at the time of the request.
+void addTransferTime(WatchBatch& batch, Duration since_asked) {
   const bool is_large = !batch.configurations.empty();
   if (batch.age && is_large) *batch.age += since_asked;
 }
 
 Error noPathError() {
-  return Error{ErrorKind::kUnavailable, "the readers and the source failed a moment ago",
-               "see source_trouble lines; what is in force stays"};
+  return Error{ErrorKind::kUnavailable,
+               "the readers and the source failed recently and are not asked again yet",
+               "see source_trouble lines; the configuration in force stays"};
 }
 
 }  // namespace
@@ -45,7 +48,8 @@
 
 Duration RelayClient::peerWait() const {
   if (topic_ == Topic::kServers) return settings_.peer_wait;
-  // A parent answers whenever its own read is answered: half a slack later than that is too late.
+  // A parent answers when its own read is answered, which may be up to half a slack later than the
+  // wait of that read.
   return settings_.configuration_wait + settings_.peer_slack / 2;
 }
 
@@ -64,16 +68,17 @@
 }
 
 bool RelayClient::isFresh() const {
-  // A version may take long to arrive, and is still sooner here than at who would read it next.
-  // That this process stood still shows by its reads of the servers.
+  // A version may take long to arrive, but a node that started to read it now would get it later
+  // still. A pause of this process is detected by its reads of the servers.
   if (topic_ == Topic::kConfiguration) return is_fresh_;
-  // Twice, for the pause between two reads. A process that was frozen finds itself stale by this.
+  // Twice, to allow for the pause between two reads. After a process was frozen, this check makes
+  // it stale.
   return is_fresh_ && environment_.now() - last_fresh_answer_ <= 2 * longestRead();
 }
 
 void RelayClient::list(Duration timeout, WatchCallback callback) {
   if (!isReader() && !parents_.empty()) {
-    // Everything, from a parent: as a watch from before the first revision.
+    // A watch from before the first revision returns everything the parent has.
     return watch(SourceRevision(), Duration(0), timeout, std::move(callback));
   }
   ++statistics_.source_reads;
@@ -81,7 +86,7 @@
                          alive = std::weak_ptr<int>(alive_)](Result<WatchBatch> answer) {
     if (alive.expired()) return;
     if (answer) {
-      addTimeOnWay(*answer, environment_.now() - asked);
+      addTransferTime(*answer, environment_.now() - asked);
       noteSourceAnswer(*answer);
     }
     callback(std::move(answer));
@@ -98,15 +103,16 @@
   const TimePoint now = environment_.now();
   const bool reads_itself = isReader() && now >= source_avoided_until_;
   if (reads_itself && !read->was_source_asked) return readSource(read);
-  // A node that has just started does not try one silent parent after the other, nor one after the
-  // other that has just started itself. Those that answer at once that they do not know the newest
-  // cost no time, and the next one's answer is a tenth of the source's.
+  // A node that has just started does not try several silent parents in a row, nor several parents
+  // that have just started themselves. A parent that refuses at once because it is not fresh costs
+  // no time, and the next parent's answer is a tenth of the size of the source's.
   const bool has_waited = now - read->began > settings_.peer_slack;
-  const bool is_in_haste = read->failure && held_.configuration() == nullptr &&
+  const bool skips_peers = read->failure && held_.configuration() == nullptr &&
                            (has_waited || read->failure->kind != ErrorKind::kOverloaded);
-  const std::optional<std::string> host = is_in_haste ? std::nullopt : nextPeer();
+  const std::optional<std::string> host = skips_peers ? std::nullopt : nextPeer();
   if (host) return askPeer(read, *host);
-  if (!read->was_source_asked && !leavesSourceToReaders() && standsIn()) return readSource(read);
+  if (!read->was_source_asked && !leavesSourceToReaders() && readsAsFallback())
+    return readSource(read);
   fail(read);
 }
 
@@ -116,22 +122,22 @@
   read->callback(*read->failure);
 }
 
-/// A node that is no reader does not repeat what the readers already try for all of them. With a
-/// source that was down for 8 s of a minute, 80 nodes made 2,400 reads in place of 5,100, and were
-/// as current after its return.
+/// Returns whether this node should not read the source because the readers already retry on behalf
+/// of all nodes. This keeps the number of reads low while the source is down, and nodes are current
+/// just as soon after it is back.
 bool RelayClient::leavesSourceToReaders() const {
   const bool has_something = held_.configuration() != nullptr;
   return !isReader() && has_something && environment_.now() < source_avoided_until_;
 }
 
-/// Whether this node reads the source in place of readers that fail. The source tells each version
-/// of a storm whole: when a planned stop took all readers at once, 65 of 80 nodes read some
-/// megabytes each, their links of 5 Mbit/s were full for two seconds, and each hop of a request
-/// took 160 ms longer. Entries of servers are small, and needed sooner.
-bool RelayClient::standsIn() const {
+/// Returns whether this node reads the source as a fallback while its readers fail. Only some nodes
+/// read the configuration, since the source sends each version of a burst in full: if most nodes of
+/// a fleet did so after a planned stop of all readers, they would saturate their links and delay
+/// requests. Entries of servers are small and needed sooner, so every node reads them.
+bool RelayClient::readsAsFallback() const {
   const bool must_read = topic_ == Topic::kServers || held_.configuration() == nullptr;
   if (isReader() || must_read || nodes_ == 0) return true;
-  return happens(environment_, kStandIns / static_cast<double>(nodes_));
+  return happens(environment_, kExpectedFallbackReaders / static_cast<double>(nodes_));
 }
 
 // ---- The source
@@ -141,7 +147,7 @@
   read->was_source_asked = true;
   read->asked = environment_.now();
   const Duration wait = read->failure ? Duration(0) : std::min(read->wait, sourceWait());
-  // A caller that does not wait repeats a failed read: it says how patient it is.
+  // A caller that does not wait is retrying a failed read, and its own timeout applies.
   const Duration timeout =
       read->wait == Duration(0) ? read->timeout : wait + settings_.source_slack;
   WatchCallback callback = [this, read,
@@ -160,9 +166,10 @@
 
 void RelayClient::onSourceAnswer(const ReadPointer& read, Result<WatchBatch> answer) {
   if (answer) {
-    addTimeOnWay(*answer, environment_.now() - read->asked);
+    addTransferTime(*answer, environment_.now() - read->asked);
     noteSourceAnswer(*answer);
-    // The list after a new version, when there is no newer one: nothing to pause for.
+    // This list follows a new version and has no newer one. Without a change in the batch, the
+    // caller does not pause before its next read.
     if (topic_ == Topic::kConfiguration && !lists_next_) answer->configurations.clear();
     return read->callback(std::move(answer));
   }
@@ -183,7 +190,7 @@
   source_avoided_until_ = TimePoint();
 }
 
-/// A parent answers only while what it holds is as new as the source's own.
+/// A relay is fresh after its parent answered, since parents answer only while they are fresh.
 void RelayClient::noteParentAnswer() {
   if (role_ != ReaderRole::kRelay) return;
   is_fresh_ = true;
@@ -194,7 +201,7 @@
   if (std::exchange(is_fresh_, false) && on_freshness_lost_) on_freshness_lost_();
 }
 
-// ---- Other readers
+// ---- Parents
 
 std::optional<std::string> RelayClient::nextPeer() {
   const TimePoint now = environment_.now();
@@ -208,7 +215,7 @@
 void RelayClient::askPeer(const ReadPointer& read, const std::string& host) {
   ++statistics_.peer_reads;
   read->asked = environment_.now();
-  // Of a relay, others go on waiting here: it knows what its parent tells a moment later.
+  // A relay stays fresh: nodes keep waiting at it, since it gets its parent's answer shortly after.
   if (role_ != ReaderRole::kRelay) loseFreshness();
   PeerQuestion question;
   question.topic = topic_;
@@ -228,7 +235,7 @@
   if (!answer) return onPeerFailed(read, host, answer.error());
   const bool is_behind = answer->has_value() && (*answer)->revision.era < read->after.era;
   if (is_behind) return onPeerFailed(read, host, earlierEraError());
-  // What a parent holds is the newest: a list that was due is not any more.
+  // The parent's state is the newest, so a pending list of the source is no longer needed.
   lists_next_ = false;
   noteParentAnswer();
   if (!answer->has_value()) {
@@ -242,10 +249,10 @@
   if (batch) {
     batch->is_relayed = true;
     const bool is_whole = (*answer)->configuration != nullptr;
-    if (is_whole) addTimeOnWay(*batch, environment_.now() - read->asked);
+    if (is_whole) addTransferTime(*batch, environment_.now() - read->asked);
     return read->callback(std::move(batch));
   }
-  // A delta that does not fit: once more, for the whole configuration.
+  // The delta does not apply to the held version: ask again for the whole configuration.
   ++statistics_.peer_failures;
   read->failure = batch.error();
   const bool was_whole = read->version == Version();
--- a/src/source/relay_client.h
+++ b/src/source/relay_client.h
@@ -1,12 +1,12 @@
 #pragma once
 
-/// Reads one topic of a source for a node of a mesh in which only a few nodes read it: those that
-/// were chosen (reader_choice.h) read the source itself, relays wait for changes at one of them,
-/// and the others at a relay. A node whose parents fail reads the source, and a reader that the
-/// source turns away asks other readers: nobody depends on one path.
+/// Reads one topic of a source for a node of a mesh in which only a few nodes read the source: the
+/// chosen readers (reader_choice.h) read the source itself, relays wait for changes at a reader,
+/// and followers wait at a relay. A node whose parents fail reads the source, and a reader whose
+/// read of the source fails asks other readers, so that no node depends on a single path.
 ///
-/// Invariant: a read ends within the longest of its steps: one wait that went silent, then
-/// questions that are answered at once (Settings say how long each may take).
+/// Invariant: the duration of a read is bounded: at most one step waits for a change and times out;
+/// the later steps ask for an immediate answer. RelaySettings bound each step.
 
 #include <functional>
 #include <map>
@@ -23,27 +23,27 @@
 
 namespace coursepond::source {
 
-/// The times follow from what operators are promised; see runtime/promises.h.
+/// The times are derived from the bounds promised to operators; see runtime/promises.h.
 struct RelaySettings {
-  /// The longest that a read of the source waits for a change, and how much longer its answer may
-  /// take: the sum is how soon a reader notices that the source is silent.
+  /// Maximum time that a read of the source waits for a change, and additional time allowed for its
+  /// answer. A reader notices within the sum of both that the source does not respond.
   Duration source_wait = std::chrono::milliseconds(600);
   Duration source_slack = std::chrono::milliseconds(500);
-  /// The same for a question to a reader.
+  /// The same for a request to a parent.
   Duration peer_wait = std::chrono::milliseconds(600);
   Duration peer_slack = std::chrono::milliseconds(400);
-  /// In place of both waits where the configuration is asked for: it changes seldom, and a reader
-  /// has more to do with each question than with each answer.
+  /// Replaces both waits for reads of the configuration. Longer, since the configuration changes
+  /// rarely, and receiving a question costs a reader more than answering it.
   Duration configuration_wait = std::chrono::milliseconds(1000);
-  /// An answer of the source or of a reader that has begun is given up when nothing of it comes for
-  /// so long. A node of a tenth of a core stands still for half of it while it takes in a
+  /// An answer of the source or of a parent that has begun is aborted when no data arrives for this
+  /// long. A node with a tenth of a core is blocked for half of this time while it applies a
   /// configuration of 5,000 routes.
   Duration stall_limit = std::chrono::milliseconds(700);
-  /// A reader that did not answer is not asked for so long.
+  /// Time for which a parent that did not answer is not asked.
   Duration avoid_silent = std::chrono::seconds(4);
-  /// The same for one that answered that it does not read the source now.
+  /// The same for a parent that answered that it is not fresh.
   Duration avoid_unfit = std::chrono::milliseconds(500);
-  /// A node that the source turned away asks others for so long before it reads again.
+  /// Time for which a node does not read the source after a failed read, and asks others instead.
   Duration avoid_source = std::chrono::seconds(2);
 };
 
@@ -61,16 +61,17 @@
   RelayClient(const RelaySettings& settings, Topic topic, WatchClient& source,
               PeerStateClient& peers, const HeldState& held, Environment& environment);
 
-  /// What this node does, and whom it asks: readers or relays, in the order in which to ask them.
-  /// `nodes` that ask the same ones, this one included; zero: not known.
+  /// Sets this node's role and its parents (readers or relays) in the order in which to ask them.
+  /// `nodes`: number of nodes with the same parents, this one included; zero if unknown.
   void setReaders(std::vector<std::string> parents, ReaderRole role, std::size_t nodes = 0);
-  /// Called when this node no longer reads the source itself.
+  /// Called when this node is no longer fresh; see isFresh().
   void onFreshnessLost(std::function<void()> callback) { on_freshness_lost_ = std::move(callback); }
-  /// Called when a reader did not answer, or turned this node away; another path is taken.
+  /// Called when a parent did not answer or refused to. The read continues on another path.
   void onReaderFailed(std::function<void(const std::string& host, const Error& error)> callback) {
     on_reader_failed_ = std::move(callback);
   }
-  /// Whether what is held is as new as the source's own: others may wait for changes here.
+  /// Returns whether the held state is as new as the source's, so that other nodes may wait for
+  /// changes at this one.
   bool isFresh() const;
   ReaderRole role() const { return role_; }
 
@@ -81,23 +82,23 @@
   const RelayStatistics& statistics() const { return statistics_; }
 
  private:
-  /// One call of watch() on its way through its steps.
+  /// One call of watch() and the progress of its steps.
   struct Read {
     SourceRevision after;
     Duration wait{};
     Duration timeout{};
     WatchCallback callback;
-    Version version;  ///< That is held; none to get the whole configuration.
+    Version version;  ///< The held one; none to get the whole configuration.
     TimePoint began;
-    TimePoint asked;  ///< When its last step was.
+    TimePoint asked;  ///< Start of the last step.
     bool was_source_asked = false;
-    std::optional<Error> failure;  ///< Of the last step.
+    std::optional<Error> failure;  ///< Error of the last step.
   };
   using ReadPointer = std::shared_ptr<Read>;
 
   void step(const ReadPointer& read);
   bool leavesSourceToReaders() const;
-  bool standsIn() const;
+  bool readsAsFallback() const;
   void readSource(const ReadPointer& read);
   void onSourceAnswer(const ReadPointer& read, Result<WatchBatch> answer);
   void askPeer(const ReadPointer& read, const std::string& host);
@@ -122,18 +123,18 @@
   Environment& environment_;
   std::function<void()> on_freshness_lost_;
   std::function<void(const std::string&, const Error&)> on_reader_failed_;
-  /// Callbacks hold a weak reference: they end with the client.
+  /// Callbacks hold a weak reference, and do nothing once the client is destroyed.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
   std::vector<std::string> parents_;
-  std::map<std::string, TimePoint> avoided_until_;  ///< Of `parents_`.
+  std::map<std::string, TimePoint> avoided_until_;  ///< Keyed by host; subset of `parents_`.
   std::size_t nodes_ = 0;
   ReaderRole role_ = ReaderRole::kReader;
   bool is_fresh_ = false;
-  /// The source's last answer brought a version: list next, since a list has the newest only and a
-  /// watch each one of a storm, whole.
+  /// The source's last answer contained a new version, so the next read is a list: it returns only
+  /// the newest version, while a watch returns each version of a burst in full.
   bool lists_next_ = false;
   TimePoint source_avoided_until_;
-  TimePoint last_fresh_answer_;  ///< Of the source; of a relay, also of a reader.
+  TimePoint last_fresh_answer_;  ///< From the source; for a relay, also from its parent.
   RelayStatistics statistics_;
 };
 
--- a/src/source/restore_settling.cpp
+++ b/src/source/restore_settling.cpp
@@ -5,36 +5,37 @@
 namespace coursepond::source {
 namespace {
 
-/// A server that runs and reaches the source writes its entry again within this.
-constexpr Duration kServersWrite = std::chrono::seconds(2);
-/// Three heartbeats of a server: after as much silence its entry lapses.
-constexpr Duration kEntryLife = std::chrono::milliseconds(4500);
-/// Operators write again what they wrote, by a program or by hand. A drained zone that they don't
-/// name any more is used again after this.
-constexpr Duration kOperatorsWrite = std::chrono::seconds(10);
+/// Time within which a running server that reaches the source writes its entry again.
+constexpr Duration kServerRewriteWait = std::chrono::seconds(2);
+/// A server's entry expires after this time (three heartbeats) without a write.
+constexpr Duration kEntryLifetime = std::chrono::milliseconds(4500);
+/// Time allowed for operators to write lost changes again, with a program or by hand. A zone that
+/// is not drained again within this time is used again.
+constexpr Duration kOperatorRewriteWait = std::chrono::seconds(10);
 
 }  // namespace
 
 RestoreSettling::RestoreSettling(HeldState& held, Environment& environment, Handlers handlers)
     : held_(held), environment_(environment), handlers_(std::move(handlers)) {
-  servers_write_ = {kServersWrite,
-                    [this] { handlers_.on_servers(held_.dropUnconfirmedServers()); }};
-  entries_lapse_ = {kEntryLife, [this] { handlers_.on_servers(held_.acceptDoubtedServers()); }};
-  operators_write_ = {kOperatorsWrite, [this] {
-                        may_lack_version_ = false;
-                        handlers_.on_zones(held_.settleZones());
-                      }};
+  server_rewrite_wait_ = {kServerRewriteWait,
+                          [this] { handlers_.on_servers(held_.dropUnconfirmedServers()); }};
+  entry_lapse_wait_ = {kEntryLifetime,
+                       [this] { handlers_.on_servers(held_.acceptDoubtedServers()); }};
+  operator_rewrite_wait_ = {kOperatorRewriteWait, [this] {
+                              may_lack_version_ = false;
+                              handlers_.on_zones(held_.settleZones());
+                            }};
 }
 
 RestoreSettling::~RestoreSettling() {
-  for (const Wait* wait : {&servers_write_, &entries_lapse_, &operators_write_}) {
+  for (const Wait* wait : {&server_rewrite_wait_, &entry_lapse_wait_, &operator_rewrite_wait_}) {
     environment_.cancel(wait->timer);
   }
 }
 
 std::vector<RestoreSettling::Wait*> RestoreSettling::waitsOf(Topic topic) {
-  if (topic == Topic::kConfiguration) return {&operators_write_};
-  return {&servers_write_, &entries_lapse_};
+  if (topic == Topic::kConfiguration) return {&operator_rewrite_wait_};
+  return {&server_rewrite_wait_, &entry_lapse_wait_};
 }
 
 void RestoreSettling::onRestored(Topic topic) {
--- a/src/source/restore_settling.h
+++ b/src/source/restore_settling.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// How long a node waits after it heard that the source was restored from a copy: what was held and
-/// the copy lacks, or the copy tells and was known better, waits for its writer to write again, and
-/// for no longer than that.
+/// Limits how long a node keeps its own state after the source was restored from an older copy.
+/// Where the held state and the copy differ, the node waits until the writer (a server or an
+/// operator) had time to write again, and then follows the source.
 
 #include <functional>
 #include <vector>
@@ -14,33 +14,34 @@
 
 class RestoreSettling {
  public:
-  /// Called at the end of each wait, with what it changed.
+  /// Called at the end of each wait with the resulting changes.
   struct Handlers {
     std::function<void(const ServerChanges& changes)> on_servers;
     std::function<void(bool has_changed)> on_zones;
   };
 
-  /// `held` and `environment` must outlive it.
+  /// `held` and `environment` must outlive this object.
   RestoreSettling(HeldState& held, Environment& environment, Handlers handlers);
   ~RestoreSettling();
   RestoreSettling(const RestoreSettling&) = delete;
   RestoreSettling& operator=(const RestoreSettling&) = delete;
 
-  /// What is held of `topic` is of another era since now.
+  /// Called when the held state of `topic` has changed to a new era.
   void onRestored(Topic topic);
-  /// A read of `topic` failed: waits that have not ended begin anew, since writers wait as well.
+  /// Called when a read of `topic` failed. Restarts the waits that have not ended, since the
+  /// writers cannot reach the source either.
   void onSourceFailed(Topic topic);
-  /// Operators wrote a version that is newer than all that was held.
+  /// Called when operators wrote a version newer than any held one.
   void onNewerVersion() { may_lack_version_ = false; }
-  /// Whether the source may still lack a version that it had acknowledged.
+  /// Returns whether the source may still lack a version that it acknowledged before the restore.
   bool mayLackVersion() const { return may_lack_version_; }
 
  private:
-  /// One wait, and what its end does.
+  /// A wait and the callback at its end.
   struct Wait {
     Duration length;
     std::function<void()> on_end;
-    TimerId timer = 0;  ///< Zero: not begun, or over.
+    TimerId timer = 0;  ///< Zero if the wait has not begun or is over.
   };
 
   std::vector<Wait*> waitsOf(Topic topic);
@@ -49,9 +50,9 @@
   HeldState& held_;
   Environment& environment_;
   Handlers handlers_;
-  Wait servers_write_;
-  Wait entries_lapse_;
-  Wait operators_write_;
+  Wait server_rewrite_wait_;
+  Wait entry_lapse_wait_;
+  Wait operator_rewrite_wait_;
   bool may_lack_version_ = false;
 };
 
--- a/src/source/source_reader.cpp
+++ b/src/source/source_reader.cpp
@@ -17,14 +17,14 @@
 
 Error platformMalformed(std::string message) {
   return Error{ErrorKind::kMalformed, std::move(message),
-               "mend what the platform's service gives at this address; nothing was taken from it"};
+               "fix the response of the platform's service at this address; nothing was applied"};
 }
 
 /// Reads {"newest": 7}.
 Result<Version> parseNewest(const std::string& body) {
   const nlohmann::json json = nlohmann::json::parse(body, nullptr, false);
   if (!json.is_object() || !json.contains("newest") || !json["newest"].is_number_unsigned()) {
-    return platformMalformed("/v1/configurations: expected {\"newest\": a whole number}");
+    return platformMalformed("/v1/configurations: expected {\"newest\": integer}");
   }
   return Version(json["newest"].get<std::uint64_t>());
 }
@@ -35,7 +35,7 @@
   return outcome;
 }
 
-/// A document that parses whole and has the version asked for, or its mistakes.
+/// A document that parses completely and has the requested version, or its mistakes.
 struct CheckedDocument {
   std::optional<model::ConfigurationDocument> document;
   std::vector<model::DocumentMistake> mistakes;
@@ -52,8 +52,8 @@
     return checked;
   }
   if (document->configuration.version != version) {
-    Error error = platformMalformed("asked for version " + std::to_string(version.value()) +
-                                    ", got version " +
+    Error error = platformMalformed("requested version " + std::to_string(version.value()) +
+                                    ", received version " +
                                     std::to_string(document->configuration.version.value()));
     checked.mistakes.push_back(model::DocumentMistake{"version", std::move(error)});
     return checked;
@@ -68,8 +68,8 @@
   return kEventNames[static_cast<std::size_t>(kind)];
 }
 
-/// Owned by shared pointer, so that answers of the platform that come after the reader is gone find
-/// nothing.
+/// Owned by a shared pointer. Callbacks hold a weak pointer, so that answers of the platform that
+/// arrive after the reader was destroyed are ignored.
 class SourceReader::Implementation : public std::enable_shared_from_this<Implementation> {
  public:
   Implementation(SourceSettings settings, Environment& environment, PlatformClient& client,
@@ -168,7 +168,7 @@
     });
   }
 
-  /// Wraps a handler so that answers after a change of role, a pause or the end are dropped.
+  /// Wraps a handler so that answers after a change of role, a pause or stop() are dropped.
   PlatformCallback whileReading(std::function<void(Result<PlatformAnswer>)> handler) {
     return [weak = weak_from_this(), epoch = epoch_,
             handler = std::move(handler)](Result<PlatformAnswer> answer) {
@@ -231,7 +231,7 @@
       newest_seen_ = newest;
       stale_reported_ = false;
     }
-    if (newest == newest_taken_) {
+    if (newest == newest_accepted_) {
       version_tag_ = entity_tag;
     } else if (newest >= known && newest > Version() && mayReadDocument(newest)) {
       readDocument(newest, entity_tag);
@@ -256,7 +256,7 @@
     if (answer.has_error()) {
       onFailure(document_backoff_, answer.error());
       postponeDocument(version);
-    } else if (!take(version, answer->body).empty()) {
+    } else if (!acceptDocument(version, answer->body).empty()) {
       document_backoff_.onFailure();
       postponeDocument(version);
     } else {
@@ -271,8 +271,8 @@
     refused_until_ = environment_.now() + document_backoff_.next(environment_);
   }
 
-  /// Passes the document on, or returns why it is refused.
-  std::vector<model::DocumentMistake> take(Version version, const std::string& body) {
+  /// Passes the document to the sink, or returns the reasons why it is refused.
+  std::vector<model::DocumentMistake> acceptDocument(Version version, const std::string& body) {
     CheckedDocument checked = checkBody(version, body);
     if (!checked.document.has_value()) {
       const model::DocumentMistake& first = checked.mistakes.front();
@@ -283,7 +283,7 @@
       return checked.mistakes;
     }
     ++statistics_.versions_staged;
-    newest_taken_ = std::max(newest_taken_, version);
+    newest_accepted_ = std::max(newest_accepted_, version);
     sink_.onConfiguration(*checked.document);
     return {};
   }
@@ -323,10 +323,10 @@
       backoff.onFailure();
       return;
     }
-    takeMachines(*machines, answer->entity_tag);
+    acceptMachineList(*machines, answer->entity_tag);
   }
 
-  void takeMachines(const model::MachineList& machines, const std::string& entity_tag) {
+  void acceptMachineList(const model::MachineList& machines, const std::string& entity_tag) {
     if (machines.generation < machines_generation_) {
       onStale("the platform's machine list has generation " +
               std::to_string(machines.generation.value()) + ", below the known generation " +
@@ -378,7 +378,7 @@
              callback(failedFetch(newest.error()));
            } else if (*newest < std::max(newest_seen_, sink_.newestKnown())) {
              onStale("the platform reports version " + std::to_string(newest->value()) +
-                     " as the newest, below a version that is known");
+                     " as the newest, below the newest known version");
              callback(failedFetch(staleError()));
            } else {
              fetchVersion(*newest, callback);
@@ -392,12 +392,13 @@
          forFetch(callback, [this, version, callback](const PlatformAnswer& answer) {
            FetchOutcome outcome;
            outcome.version = version;
-           outcome.mistakes = take(version, answer.body);
+           outcome.mistakes = acceptDocument(version, answer.body);
            callback(std::move(outcome));
          }));
   }
 
-  /// Hands failures, and answers that come after the role was lost, to the fetch's callback.
+  /// Wraps a handler so that failures, and answers after the loss of the role, go to the fetch's
+  /// callback instead.
   PlatformCallback forFetch(FetchCallback callback,
                             std::function<void(const PlatformAnswer&)> handler) {
     return [weak = weak_from_this(), epoch = epoch_, callback = std::move(callback),
@@ -411,7 +412,7 @@
       } else if (self->epoch_ != epoch) {
         ++self->statistics_.late_answers;
         callback(failedFetch(Error{ErrorKind::kUnavailable,
-                                   "this node lost the reader role while it read", "ask again"}));
+                                   "this node lost the reader role during the read", "retry"}));
       } else {
         handler(*answer);
       }
@@ -420,7 +421,7 @@
 
   static Error staleError() {
     return Error{ErrorKind::kVersionRegression,
-                 "the platform reports an older newest version than is known: it is stale",
+                 "the platform is stale: its newest version is older than one already known",
                  "name the version to plan, or wait until the platform is up to date"};
   }
 
@@ -457,7 +458,7 @@
       sink_.onSourceEvent(SourceEvent{
           SourceEventKind::kStale,
           Error{ErrorKind::kVersionRegression, message,
-                "nothing is needed here: it is ignored until the platform is up to date"}});
+                "none needed: the answer is ignored until the platform is up to date"}});
     }
   }
 
@@ -469,7 +470,8 @@
 
   bool role_ = false;
   bool stopped_ = false;
-  std::uint64_t epoch_ = 0;  ///< Changes with the role; answers to older questions are dropped.
+  /// Increases when the role changes; answers to earlier requests are dropped.
+  std::uint64_t epoch_ = 0;
 
   RetryBackoff version_backoff_;
   RetryBackoff machines_backoff_;
@@ -480,13 +482,14 @@
   TimerId bootstrap_timer_ = 0;
   PeersNeeded peers_needed_;
 
-  std::string version_tag_;  ///< Of the newest version whose document was taken.
+  std::string version_tag_;  ///< Entity tag of the newest version whose document was accepted.
   std::string machines_tag_;
   Version newest_seen_;
-  Version newest_taken_;  ///< Each reader reads each version once, also when peers hold it already.
+  /// Each reader reads each version once, even if peers already hold it.
+  Version newest_accepted_;
   Generation machines_generation_;
-  Version refused_version_;    ///< Its document could not be taken.
-  TimePoint refused_until_{};  ///< That document is not read again before this.
+  Version refused_version_;    ///< Version whose document was refused or could not be read.
+  TimePoint refused_until_{};  ///< The document is not read again before this time.
 
   bool failing_reported_ = false;
   bool stale_reported_ = false;
--- a/src/source/source_reader.h
+++ b/src/source/source_reader.h
@@ -20,12 +20,12 @@
 
 namespace coursepond::source {
 
-/// A change of state of the platform as this reader sees it.
+/// A change in the platform's state as observed by this reader.
 enum class SourceEventKind {
   kFailing,    ///< Reads began to fail.
   kRecovered,  ///< Reads succeed again.
-  kStale,      ///< It reports versions or machine lists older than what is known.
-  kMalformed,  ///< It gave something that was refused whole.
+  kStale,      ///< The platform reports a version or machine list older than a known one.
+  kMalformed,  ///< An answer of the platform was refused as a whole.
 };
 
 /// "failing" and so on.
@@ -33,46 +33,46 @@
 
 struct SourceEvent {
   SourceEventKind kind = SourceEventKind::kFailing;
-  Error error;  ///< Why; empty text for kRecovered.
+  Error error;  ///< The cause; empty for kRecovered.
 };
 
-/// Takes what was read. Every document is whole and checked; versions and generations only rise.
-/// Do not call back into the reader from inside.
+/// Receives what was read. Every document is complete and validated; versions and generations only
+/// increase. Implementations must not call the reader from these methods.
 class SourceSink {
  public:
   virtual ~SourceSink() = default;
   virtual void onConfiguration(const model::ConfigurationDocument& document) = 0;
   virtual void onMachines(const model::MachineList& machines) = 0;
   virtual void onSourceEvent(const SourceEvent& event) = 0;
-  /// Whether this node may read now. Asked before every read.
+  /// Returns whether this node may read now. Called before every read.
   virtual bool mayRead() const = 0;
-  /// The newest version known here from any peer (zero: none). Anything the platform reports below
-  /// it is stale.
+  /// The newest version that this node knows from any peer, or zero. A lower version reported by
+  /// the platform is stale.
   virtual Version newestKnown() const = 0;
 };
 
 /// Counters for /metrics and the simulator. Never reset.
 struct SourceStatistics {
   std::uint64_t reads = 0;            ///< Requests sent to the platform, of any kind.
-  std::uint64_t not_modified = 0;     ///< Reads answered "nothing new".
+  std::uint64_t not_modified = 0;     ///< Reads answered "not modified".
   std::uint64_t failures = 0;         ///< Reads that failed or timed out.
-  std::uint64_t versions_staged = 0;  ///< Documents passed on.
-  std::uint64_t machine_lists = 0;    ///< Newer machine lists passed on.
-  std::uint64_t malformed = 0;        ///< Documents, lists or answers refused whole.
-  std::uint64_t stale = 0;            ///< Answers older than what is known; refused.
+  std::uint64_t versions_staged = 0;  ///< Documents passed to the sink.
+  std::uint64_t machine_lists = 0;    ///< Newer machine lists passed to the sink.
+  std::uint64_t malformed = 0;        ///< Documents, lists or answers refused as a whole.
+  std::uint64_t stale = 0;            ///< Answers refused as older than the known state.
   std::uint64_t skipped_role = 0;     ///< Reads not made because the role was lost.
   std::uint64_t late_answers = 0;     ///< Answers after a timeout, a pause or the loss of the role.
-  std::uint64_t bootstrap_reads = 0;  ///< Machine lists read for want of any peer.
+  std::uint64_t bootstrap_reads = 0;  ///< Machine lists read because no peer was known.
 };
 
-/// What became of a fetch. Without mistakes the version was read and passed to the sink.
+/// The result of a fetch. Without mistakes, the version was read and passed to the sink.
 struct FetchOutcome {
-  Version version;                               ///< The version read; zero when none could be.
+  Version version;                               ///< The version read; zero if none could be.
   std::vector<model::DocumentMistake> mistakes;  ///< Of the document, or of the read itself.
 };
 using FetchCallback = std::function<void(FetchOutcome)>;
 
-/// Asked by the reader for as long as it looks for peers.
+/// Returns whether the node still needs peers. Called before each read of the bootstrap.
 using PeersNeeded = std::function<bool()>;
 
 class SourceReader {
@@ -84,22 +84,23 @@
   SourceReader(const SourceReader&) = delete;
   SourceReader& operator=(const SourceReader&) = delete;
 
-  /// The role came or went. Reading stops at once when it goes.
+  /// Sets whether this node has the reader role. Without the role, reading stops at once.
   void setRole(bool source_reader);
 
-  /// Looks for peers: after `patience` and a random spread, reads the machine list, and again with
-  /// backoff, for as long as `needed` says that no peer is known. Independent of the role.
+  /// Starts the search for peers: after `patience` and a random spread, reads the machine list, and
+  /// repeats this with backoff while `needed` returns true. Independent of the role.
   void startBootstrap(Duration patience, PeersNeeded needed);
 
-  /// The process was paused: reads under way count for nothing, and the role has to be given anew.
+  /// Called after the process was paused. Drops reads in flight and the role, which has to be set
+  /// again.
   void onPauseDetected();
 
-  /// Stops everything, for good.
+  /// Stops all reads permanently.
   void stop();
 
-  /// Reads one version now, or the newest (zero), whatever is known already. Only on a node that
-  /// holds the role; otherwise a kUnavailable mistake. Calls back exactly once unless stopped,
-  /// within three read timeouts, possibly from inside the call.
+  /// Reads one version now, or the newest (zero), even if it is already known. Fails with a
+  /// kUnavailable mistake on a node without the reader role. Calls back exactly once unless
+  /// stopped, within three read timeouts, possibly from inside the call.
   void fetch(Version version, const FetchCallback& callback);
 
   bool reading() const;
--- a/src/source/state_update.cpp
+++ b/src/source/state_update.cpp
@@ -10,8 +10,9 @@
 
 using Json = nlohmann::json;
 
-/// A larger state is not decompressed: 40 times the configuration of 280 services and their routes.
-constexpr std::size_t kLargestState = std::size_t{32} * 1024 * 1024;
+/// Upper bound for the decompressed size: 40 times the configuration of 280 services and their
+/// routes.
+constexpr std::size_t kMaxStateBytes = std::size_t{32} * 1024 * 1024;
 
 Json serverToJson(const model::ServerEntry& server) {
   return {{"id", server.id.value()},
@@ -25,8 +26,8 @@
           {"revision", server.revision.number.value()}};
 }
 
-/// `era`: of the whole update. Throws what nlohmann throws, or std::system_error for an address
-/// that is none.
+/// `era`: the era of the whole update. Throws the exceptions of nlohmann::json, or
+/// std::system_error for an invalid address.
 model::ServerEntry serverFromJson(const Json& json, Era era) {
   model::ServerEntry server;
   server.id = EndpointId(json.at("id").get<std::string>());
@@ -48,7 +49,7 @@
                "run the same version of coursepond on all machines"};
 }
 
-/// Throws as serverFromJson, or std::system_error for a configuration that is none.
+/// Throws like serverFromJson, or std::system_error for an invalid configuration.
 void readConfiguration(const Json& json, StateUpdate& update) {
   if (const auto whole = json.find("configuration"); whole != json.end()) {
     const Version version(json.at("version").get<std::uint64_t>());
@@ -107,7 +108,7 @@
 }
 
 Result<StateUpdate> decodeStateUpdate(std::string_view bytes) {
-  const Result<std::string> text = distribution::decompressText(bytes, kLargestState);
+  const Result<std::string> text = distribution::decompressText(bytes, kMaxStateBytes);
   if (!text) return text.error();
   try {
     return fromJson(Json::from_cbor(*text));
--- a/src/source/state_update.h
+++ b/src/source/state_update.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// What one node tells another of a watched source: everything, or what changed after a revision.
+/// The state of a watched source that one node sends to another: everything, or the changes since a
+/// revision.
 
 #include <memory>
 #include <optional>
@@ -18,26 +19,28 @@
 namespace coursepond::source {
 
 struct StateUpdate {
-  SourceRevision revision;   ///< Of the source, up to which this is known.
-  bool is_complete = false;  ///< `servers` lists all there are; nothing else is held any more.
-  /// See WatchBatch; not part of what is encoded, since it changes with each answer.
+  SourceRevision revision;   ///< The revision of the source up to which this is known.
+  bool is_complete = false;  ///< `servers` lists all servers; all others are removed.
+  /// See WatchBatch. Not encoded, since it differs for each answer.
   std::optional<Duration> age;
   std::vector<model::ServerEntry> servers;
   std::vector<EndpointId> removed_servers;
-  /// With what is told of the configuration: all zones that are drained.
+  /// All drained zones; set in updates of the configuration's topic.
   std::optional<std::vector<ZoneId>> drained_zones;
-  /// At most one of the two: the whole configuration, or how it differs from the one that the asker
-  /// holds. Neither: it has not changed.
+  /// At most one of the two is set: the whole configuration, or its delta from the one that the
+  /// asker holds. Neither is set if the configuration has not changed.
   ConfigurationPointer configuration;
   std::optional<model::Delta> delta;
 };
 
-/// Compressed CBOR, and back (kMalformed with what is wrong, kTooLarge). Secrets are no part of it.
+/// Encode to and decode from compressed CBOR. Decoding fails with kMalformed or kTooLarge. Secrets
+/// are not included.
 std::string encodeStateUpdate(const StateUpdate& update);
 Result<StateUpdate> decodeStateUpdate(std::string_view bytes);
 
-/// The update as a read of the source would have told it. `held` is the configuration that the
-/// asker named (null: none). kBaseMismatch when the delta starts from another version.
+/// Converts the update to the batch that a read of the source would have returned. `held` is the
+/// configuration that the asker named, or null. Fails with kBaseMismatch if the delta has another
+/// base version.
 Result<WatchBatch> toBatch(StateUpdate update, const model::Configuration* held);
 
 }  // namespace coursepond::source
--- a/src/source/watch_client.h
+++ b/src/source/watch_client.h
@@ -1,9 +1,9 @@
 #pragma once
 
-/// A source that acknowledges what operators write and that can be watched: each change has a
-/// revision, and a reader that names the last revision it holds gets what came after. Other than
-/// with PlatformClient, a version that such a source shows is in force: no confirmation is needed.
-/// A source may be restored from a copy that is some seconds old; see SourceRevision.
+/// Interface to a source that acknowledges writes of operators and that can be watched: each change
+/// has a revision, and a reader that sends the last revision it holds gets the later changes.
+/// Unlike with PlatformClient, a version that such a source returns is in force without a
+/// confirmation. A source may be restored from a copy that is some seconds old; see SourceRevision.
 
 #include <functional>
 #include <memory>
@@ -21,66 +21,65 @@
 
 namespace coursepond::source {
 
-/// Handed on without a copy: one of 5,000 routes takes milliseconds to copy.
+/// Shared instead of copied: copying a configuration of 5,000 routes takes milliseconds.
 using ConfigurationPointer = std::shared_ptr<const model::Configuration>;
 
-/// What a read is about. The two are read apart, each with a client and a loop of its own: a
-/// server's leaving is small and must be known soon, and does not wait for a configuration that may
-/// take seconds to arrive.
+/// The subject of a read. The two topics are read independently, each with its own client and loop:
+/// the leaving of a server is a small change that must be known soon, and must not wait for a
+/// configuration that may take seconds to arrive.
 enum class Topic { kServers, kConfiguration };
 
-/// For logs.
+/// Returns the name of the topic in logs.
 std::string_view topicWord(Topic topic);
 
-/// Operators drain a zone, or take that back. Nothing is sent to the servers of a drained zone.
+/// An operator drained a zone or cancelled its drain. Servers in a drained zone get no requests.
 struct ZoneChange {
   ZoneId zone;
   bool is_drained = true;
-  SourceRevision revision = {};  ///< Of the change; none when another node told it.
+  SourceRevision revision = {};  ///< Of the change; none if received from another node.
   friend bool operator==(const ZoneChange&, const ZoneChange&) = default;
 };
 
-/// What one read gave. A list holds everything; a watch what changed, in order. A server is in one
-/// of the two lists of servers at most, by its last change: use put() and remove(). A list of any
-/// length has nothing removed, so that taking it in costs no search.
+/// The result of one read: a list contains everything, a watch the changes in order. A server is in
+/// at most one of `servers` and `removed_servers`, according to its last change: use put() and
+/// remove(). The result of a list has no removed servers, so that put() does not search them.
 struct WatchBatch {
-  SourceRevision revision;   ///< Go on from here.
-  bool is_complete = false;  ///< `servers` lists all there are, also where changes were asked for.
-  bool is_relayed = false;   ///< Another node told it, and pauses between its reads itself.
-  /// How long ago the source had nothing newer than this; none: whoever told it does not know.
+  SourceRevision revision;   ///< The next watch continues from here.
+  bool is_complete = false;  ///< `servers` lists all servers, even if only changes were requested.
+  bool is_relayed = false;   ///< From another node, which already pauses between its own reads.
+  /// Time since the source was known to have nothing newer; none if the sender does not know.
   std::optional<Duration> age = Duration(0);
   std::vector<ConfigurationPointer> configurations;
-  std::vector<ZoneChange> zone_changes;  ///< Of the configuration's topic, in order.
-  bool lists_zones = false;              ///< `zone_changes` names all zones that are drained.
+  std::vector<ZoneChange> zone_changes;  ///< In order; only in the topic kConfiguration.
+  bool lists_zones = false;              ///< `zone_changes` lists all drained zones.
   std::vector<model::ServerEntry> servers;
   std::vector<EndpointId> removed_servers;
-  /// Items that could not be read. A configuration that was held stays in force; a server whose
-  /// entry cannot be read counts as removed.
+  /// Errors of items that could not be decoded. The held configuration stays in force; a server
+  /// whose entry cannot be decoded counts as removed.
   std::vector<Error> rejected;
 
-  /// `entry` was written: an earlier end of this server no longer counts.
+  /// Adds a written `entry`, and cancels an earlier removal of this server.
   void put(model::ServerEntry entry);
-  /// The entry of `id` was taken away, whatever was written before.
+  /// Adds the removal of `id`, and drops an entry written before.
   void remove(const EndpointId& id);
 };
 
 using WatchCallback = std::function<void(Result<WatchBatch>)>;
 
 /// Reads one topic of a source. Each call makes one read (a list may need several pages) and calls
-/// back exactly once, never from
-/// inside the call. Errors: kBaseMismatch (the source no longer has the changes after that
-/// revision, or is in another era: list again), kOverloaded (too many reads), kUnavailable,
-/// kTimeout, kMalformed.
+/// back exactly once, never from inside the call. Errors: kBaseMismatch (the source no longer has
+/// the changes since that revision, or is in another era: list again), kOverloaded (too many
+/// reads), kUnavailable, kTimeout, kMalformed.
 class WatchClient {
  public:
   virtual ~WatchClient() = default;
   virtual void list(Duration timeout, WatchCallback callback) = 0;
-  /// Some of the servers as they may have been seconds ago, at a fraction of a list's cost: to find
-  /// another node by. Complete when it holds all there were.
+  /// Reads some of the servers, possibly seconds stale, at a fraction of the cost of a list, in
+  /// order to find another node. The batch is complete if it contains all servers.
   virtual void sample(Duration timeout, WatchCallback callback) {
     list(timeout, std::move(callback));
   }
-  /// Answers at the first change after `after`, or without one after `wait`.
+  /// Answers at the first change since `after`, or without changes when `wait` expires.
   virtual void watch(SourceRevision after, Duration wait, Duration timeout,
                      WatchCallback callback) = 0;
 };
--- a/src/source/watch_loop.cpp
+++ b/src/source/watch_loop.cpp
@@ -7,11 +7,11 @@
 namespace coursepond::source {
 namespace {
 
-Error earlierEra(SourceRevision told, SourceRevision held) {
-  return Error{
-      ErrorKind::kUnavailable,
-      "the source answers from " + formatRevision(told) + ", an era before " + formatRevision(held),
-      "see that no process of the source from before its restore still answers"};
+Error earlierEraError(SourceRevision answered, SourceRevision held) {
+  return Error{ErrorKind::kUnavailable,
+               "the source answers from " + formatRevision(answered) + ", an era before " +
+                   formatRevision(held),
+               "make sure that no process of the source from before its restore still answers"};
 }
 
 }  // namespace
@@ -35,7 +35,7 @@
 
 void WatchLoop::stop() {
   running_ = false;
-  ++read_;
+  ++current_read_;
   environment_.cancel(timer_);
 }
 
@@ -48,10 +48,10 @@
 }
 
 WatchCallback WatchLoop::guarded(void (WatchLoop::*handler)(const Result<WatchBatch>&)) {
-  const std::uint64_t read = ++read_;
+  const std::uint64_t read = ++current_read_;
   return
       [this, read, handler, alive = std::weak_ptr<int>(alive_)](const Result<WatchBatch>& answer) {
-        if (alive.expired() || read != read_ || !running_) return;
+        if (alive.expired() || read != current_read_ || !running_) return;
         (this->*handler)(answer);
       };
 }
@@ -67,7 +67,7 @@
 
 void WatchLoop::watch() {
   ++statistics_.watches;
-  // After a failure it must show soon whether the source answers again: don't wait for a change.
+  // After a failure, do not wait for a change, to find out soon whether the source answers again.
   const Duration wait = backoff_.failing() ? Duration(0) : settings_.wait;
   client_.watch(revision_, wait, wait + timeout(), guarded(&WatchLoop::onWatch));
 }
@@ -77,16 +77,16 @@
   if (answer->revision.era < revision_.era) {
     must_list_ = true;
     noteOutdated(*answer);
-    return onFailed(earlierEra(answer->revision, revision_));
+    return onFailed(earlierEraError(answer->revision, revision_));
   }
   noteAnswer(*answer);
   last_list_ = environment_.now();
   must_list_ = false;
   has_listed_ = true;
-  // A list may come from a replica that is behind: what is held never goes back.
+  // A list may come from a replica that lags behind: the held state must not go back.
   if (answer->revision >= revision_) {
     revision_ = answer->revision;
-    takeIn(*answer, true);
+    applyBatch(*answer, true);
   } else {
     noteOutdated(*answer);
   }
@@ -97,18 +97,18 @@
   if (!answer) return onFailed(answer.error());
   noteAnswer(*answer);
   lost_history_ = false;
-  // Another node may have told more while this read was under way. What it answers to is held then,
-  // and would take away servers that came back since; the next read would not bring them.
+  // A peer may have sent newer state while this read was in flight, so that the answer is stale.
+  // Applying it could remove servers that came back since, and the next read would not return them.
   const bool is_stale = answer->revision < revision_;
   revision_ = std::max(revision_, answer->revision);
-  is_stale ? noteOutdated(*answer) : takeIn(*answer, answer->is_complete);
+  is_stale ? noteOutdated(*answer) : applyBatch(*answer, answer->is_complete);
   const bool is_due =
       settings_.relist > Duration(0) && environment_.now() - last_list_ >= settings_.relist;
   if (is_due) return list();
   const bool has_changes =
       !is_stale && (!answer->configurations.empty() || !answer->zone_changes.empty() ||
                     !answer->servers.empty() || !answer->removed_servers.empty());
-  // What another node told comes no faster than that node reads.
+  // No pause after an answer of another node: that node already limits the rate of its reads.
   has_changes && !answer->is_relayed ? watchLater(settings_.gather) : watch();
 }
 
@@ -117,7 +117,7 @@
   statistics_.rejected += batch.rejected.size();
 }
 
-void WatchLoop::takeIn(const WatchBatch& batch, bool is_complete) {
+void WatchLoop::applyBatch(const WatchBatch& batch, bool is_complete) {
   was_outdated_ = false;
   on_batch_(batch, is_complete);
 }
@@ -132,7 +132,8 @@
   ++statistics_.failures;
   if (error.kind == ErrorKind::kBaseMismatch) {
     ++statistics_.history_lost;
-    // A source that forgets faster than it is read is not listed without a pause.
+    // Lists at once only the first time, in case the source drops its history faster than it is
+    // read.
     const bool is_first = !must_list_ && !std::exchange(lost_history_, true);
     must_list_ = true;
     on_failure_(error);
--- a/src/source/watch_loop.h
+++ b/src/source/watch_loop.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Keeps this node current with a watched source: lists once, then watches from the last revision;
-/// lists again when the source has lost its history; backs off with jitter while it fails.
+/// Keeps this node up to date with a watched source: lists once, then watches from the last
+/// revision. Lists again when the source no longer has the history, and backs off with jitter while
+/// it fails.
 
 #include <cstdint>
 #include <functional>
@@ -15,19 +16,21 @@
 namespace coursepond::source {
 
 struct WatchSettings {
-  /// The longest that a read waits for a change. Also how soon a silent connection is noticed.
+  /// Maximum time that a read waits for a change. Also bounds how late a dead connection is
+  /// noticed.
   Duration wait = std::chrono::milliseconds(2000);
-  /// Pause after a read of the source that brought changes, so that those in quick succession come
-  /// in one read.
+  /// Pause after a read of the source that returned changes, so that changes in quick succession
+  /// are returned by one read.
   Duration gather = std::chrono::milliseconds(500);
-  /// A read without an answer for this long beyond its wait counts as failed.
+  /// A read that is not answered within this time after its wait counts as failed.
   Duration answer_timeout = std::chrono::milliseconds(700);
-  /// The same for a read that a slow source has failed before.
+  /// Replaces `answer_timeout` after a failed read, in case the source is slow.
   Duration patient_timeout = std::chrono::milliseconds(1200);
-  /// See RetryBackoff: the longest pause after the first failure, doubled with each further one.
+  /// Upper bounds for the pause after the first failure, which doubles with each further one, and
+  /// for any pause; see RetryBackoff.
   Duration backoff_base = std::chrono::milliseconds(100);
   Duration backoff_limit = std::chrono::milliseconds(800);
-  /// What was held is listed anew after this, in case a change was missed. Zero: never.
+  /// Interval between lists, in case a change was missed. Zero: never.
   Duration relist = std::chrono::seconds(30);
 };
 
@@ -36,8 +39,8 @@
   std::uint64_t watches = 0;
   std::uint64_t failures = 0;
   std::uint64_t history_lost = 0;
-  std::uint64_t rejected = 0;  ///< Items that could not be read.
-  std::uint64_t outdated = 0;  ///< Answers older than what is held; nothing is taken from them.
+  std::uint64_t rejected = 0;  ///< Items that could not be decoded.
+  std::uint64_t outdated = 0;  ///< Answers older than the held state, which are ignored.
 };
 
 class WatchLoop {
@@ -60,7 +63,7 @@
   void start();
   void stop();
 
-  /// Everything up to `revision` is known from elsewhere: go on from there.
+  /// Continues from `revision`, up to which everything is known from another node.
   void resumeFrom(SourceRevision revision);
 
   bool hasListed() const { return has_listed_; }
@@ -76,7 +79,7 @@
   void onFailed(const Error& error);
   void noteAnswer(const WatchBatch& batch);
   void noteOutdated(const WatchBatch& batch);
-  void takeIn(const WatchBatch& batch, bool is_complete);
+  void applyBatch(const WatchBatch& batch, bool is_complete);
   Duration timeout() const;
   WatchCallback guarded(void (WatchLoop::*handler)(const Result<WatchBatch>&));
 
@@ -86,15 +89,16 @@
   BatchHandler on_batch_;
   FailureHandler on_failure_;
   std::function<void(const WatchBatch&)> on_outdated_;
-  /// Callbacks of earlier reads hold a weak reference: they end with the loop.
+  /// Callbacks hold a weak reference, and do nothing once the loop is destroyed.
   std::shared_ptr<int> alive_ = std::make_shared<int>(0);
-  std::uint64_t read_ = 0;  ///< Answers to earlier reads are ignored.
+  /// Number of the current read; answers to earlier ones are ignored.
+  std::uint64_t current_read_ = 0;
   TimerId timer_ = 0;
   bool running_ = false;
   bool has_listed_ = false;
   bool must_list_ = true;
-  bool lost_history_ = false;  ///< Since the last watch that was answered.
-  bool was_outdated_ = false;  ///< The last answer.
+  bool lost_history_ = false;  ///< Whether history was lost since the last answered watch.
+  bool was_outdated_ = false;  ///< Whether the last answer was outdated.
   RetryBackoff backoff_;
   SourceRevision revision_;
   TimePoint last_list_;
--- a/tests/platform/bounds_test.cpp
+++ b/tests/platform/bounds_test.cpp
@@ -4,7 +4,7 @@
 
 namespace coursepond::platform {
 
-TEST_CASE("the bounds that promise something become settings, the others are passed over") {
+TEST_CASE("bounds with a corresponding setting become flags, the others are skipped") {
   const auto flags = promiseFlags(
       "seed_lag=3s,contact=3000ms,drain=2500ms,retry_budget_ratio=0.29,grace=6s,"
       "config_apply=2s,recovery=15s,budget_window=10s,budget_slack=62.0");
@@ -15,7 +15,7 @@
                       "--set", "promises.in_force_ms=2000", "--set", "promises.repeat_burst=62"});
 }
 
-TEST_CASE("no bounds and empty entries give no flags, a bound that is no time a clear mistake") {
+TEST_CASE("empty bounds give no flags, and an invalid value gives an error with a remedy") {
   CHECK(promiseFlags("")->empty());
   CHECK(promiseFlags(",,drain_whole=true,drain=,")->empty());
   for (const char* bounds : {"drain=soon", "drain", "grace=6", "{\"drain\":\"1200ms\"}",
--- a/tests/platform/large_configuration_test.cpp
+++ b/tests/platform/large_configuration_test.cpp
@@ -1,5 +1,5 @@
-// A configuration that takes seconds to arrive, over a link as slow as a small machine's: it comes
-// in force all the same, and what servers say does not wait for it.
+// A configuration that takes seconds to arrive over a slow link, such as that of a small machine,
+// comes in force, and does not delay the changes of servers.
 
 #include <doctest/doctest.h>
 
@@ -8,12 +8,12 @@
 namespace coursepond::platform {
 namespace {
 
-/// With kManyRoutes an answer of the store is about 400 KB: it takes four seconds, several times as
-/// long as a read waits for an answer that does not begin.
+/// Bytes per second. With kManyRoutes, an answer of the store is about 400 KB and takes four
+/// seconds, several times the timeout for an answer that does not begin.
 constexpr std::uint64_t kSlowLink = 100'000;
 constexpr std::size_t kManyRoutes = 2'000;
 
-/// Starts the node with a configuration that arrives at once, and one server.
+/// Starts the node with a small configuration, which arrives at once, and one server.
 void startSmall(NodeOnStore& bench) {
   bench.configure(1, "/small/");
   bench.listServer("ready");
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-TEST_CASE("a node starts with a configuration that takes longer to arrive than a read may hang") {
+TEST_CASE("a node starts with a configuration that takes longer to arrive than a read may stall") {
   NodeOnStore bench(kSlowLink);
   bench.configure(1, "/large/", kManyRoutes);
   bench.listServer("ready");
@@ -31,46 +31,46 @@
   CHECK(bench.becomes("/large/x", 200));
 }
 
-TEST_CASE("a version that takes longer to arrive than a read may hang comes in force") {
+TEST_CASE("a version that takes longer to arrive than a read may stall comes in force") {
   NodeOnStore bench(kSlowLink);
   startSmall(bench);
   bench.configure(2, "/large/", kManyRoutes);
   CHECK(bench.becomes("/large/x", 200));
-  // Once: an answer that is given up and asked for again keeps the link busy for nothing.
+  // The version was sent once: an answer that is aborted and requested again wastes the link.
   const std::uint64_t passed = bench.link().bytesPassed();
   const std::uint64_t answer_bytes = configurationText(2, "/large/", kManyRoutes).size() * 4 / 3;
   CHECK(passed < 2 * answer_bytes);
 }
 
-TEST_CASE("a server's leaving is known while a large configuration is on its way") {
+TEST_CASE("the leaving of a server is known while a large configuration is being received") {
   NodeOnStore bench(kSlowLink);
   startSmall(bench);
   bench.configure(2, "/large/", kManyRoutes);
   bench.listServer("draining");
   REQUIRE(bench.becomes("/small/x", 503));
-  // The old version still stands: the new one was not waited for.
+  // The old version is still in force, so the change did not wait for the new one.
   CHECK(bench.send("/large/x").status == 404);
 }
 
-TEST_CASE("a reader sends no follower away while a version is on its way to it") {
+TEST_CASE("a reader does not refuse followers while it receives a new version") {
   NodeOnStore bench(kSlowLink);
   startSmall(bench);
-  // Until the list that follows a version is over, and it waits for changes.
+  // Lets the list that follows a version end, so that the node waits for changes.
   bench.context().run_for(std::chrono::seconds(1));
   bench.configure(2, "/large/", kManyRoutes);
   std::size_t asked = 0;
-  std::size_t sent_away = 0;
+  std::size_t refused = 0;
   while (bench.send("/large/x").status != 200 && asked < 100) {
     runtime::HttpClientRequest question;
     question.target = "/v1/state/configuration?version=1&wait_ms=500&fresh=1";
     ++asked;
-    if (bench.call(bench.peerAddress(), std::move(question)).status == 503) ++sent_away;
+    if (bench.call(bench.peerAddress(), std::move(question)).status == 503) ++refused;
     bench.context().run_for(std::chrono::milliseconds(100));
   }
   CAPTURE(asked);
   REQUIRE(asked < 100);
-  // Who is sent away by all readers reads the whole version from the store, over a link of its own.
-  CHECK(sent_away == 0);
+  // A follower that all readers refuse reads the whole version from the store over its own link.
+  CHECK(refused == 0);
 }
 
 }  // namespace coursepond::platform
--- a/tests/platform/node_on_store.h
+++ b/tests/platform/node_on_store.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A whole node on the adapter and the stand-in store, over real sockets.
+/// Runs a whole node with the platform's adapter against the stand-in store, over real sockets.
 
 #include <memory>
 #include <string>
@@ -15,7 +15,7 @@
 namespace coursepond::platform {
 
 inline constexpr char kIp[] = "127.0.0.1";
-/// Bytes a second of a link that holds nothing up.
+/// Bytes per second of a link that does not limit the traffic.
 inline constexpr std::uint64_t kFastLink = std::uint64_t{1} << 30;
 inline constexpr char kServerKey[] = "servers/i-1";
 
@@ -26,8 +26,8 @@
          R"("service":"stock"}})";
 }
 
-/// One route that requests use, and `more_routes` that only make the configuration larger, by about
-/// 150 bytes each.
+/// Returns a configuration with one route for requests, and with `more_routes` that only make it
+/// larger, by about 150 bytes each.
 inline std::string configurationText(int version, const std::string& prefix,
                                      std::size_t more_routes = 0) {
   std::string text = R"({"version":"r)" + std::to_string(version) +
@@ -42,7 +42,7 @@
 
 class NodeOnStore : public testing::LoopbackBench {
  public:
-  /// `link_bytes`: what the link from the store passes in a second.
+  /// `link_bytes`: rate limit of the link from the store, in bytes per second.
   explicit NodeOnStore(std::uint64_t link_bytes = kFastLink)
       : store_(context_), link_(context_, store_.address(), link_bytes), server_(makeServer()) {}
 
@@ -73,11 +73,11 @@
     request.headers = {{"X-Request-Id", "id-1"}};
     return call(node_->addresses().caller, std::move(request));
   }
-  /// Whether requests for `target` come to be answered so.
+  /// Returns whether requests for `target` are answered with `status` before the time limit.
   bool becomes(const std::string& target, int status) {
     return runUntil([&] { return send(target).status == status; });
   }
-  /// Where other nodes ask this one.
+  /// The address for requests of other nodes.
   Address peerAddress() const { return Address{kIp, peer_port_}; }
   StoreStandIn& store() { return store_; }
   testing::LimitedLink& link() { return link_; }
--- a/tests/platform/node_on_store_test.cpp
+++ b/tests/platform/node_on_store_test.cpp
@@ -1,5 +1,5 @@
-// A whole node on the adapter and the stand-in store, over real sockets: what the store says is
-// what requests get, and its troubles change nothing that is in force.
+// A whole node with the platform's adapter against the stand-in store, over real sockets: requests
+// follow the state of the store, and failures of the store do not change what is in force.
 
 #include "node_on_store.h"
 
@@ -8,7 +8,7 @@
 namespace coursepond::platform {
 
 TEST_CASE(
-    "what the store says is in force: a route, its change, a server that leaves and returns") {
+    "changes in the store take effect: a route, its change, a server that leaves and returns") {
   NodeOnStore bench;
   bench.configure(1, "/old/");
   bench.listServer("ready");
@@ -19,7 +19,7 @@
   bench.configure(3, "/new/");
   CHECK(bench.becomes("/new/x", 200));
   CHECK(bench.send("/old/x").status == 404);
-  // An older version that shows up late changes nothing.
+  // An older version that arrives late is ignored.
   bench.configure(2, "/old/");
   bench.listServer("draining");
   CHECK(bench.becomes("/new/x", 503));
@@ -33,7 +33,7 @@
   CHECK(bench.becomes("/new/x", 200));
 }
 
-TEST_CASE("a node that starts while the store is away says that it has not run, until it is back") {
+TEST_CASE("a node that starts while the store is unavailable answers 503 until the store is back") {
   for (const StoreTrouble trouble :
        {StoreTrouble::kBusy, StoreTrouble::kThrottled, StoreTrouble::kReset}) {
     CAPTURE(static_cast<int>(trouble));
@@ -49,7 +49,7 @@
   }
 }
 
-TEST_CASE("the store's troubles and a bad configuration change nothing that is in force") {
+TEST_CASE("failures of the store and an invalid configuration do not change what is in force") {
   NodeOnStore bench;
   bench.configure(1, "/");
   bench.listServer("ready");
@@ -60,7 +60,7 @@
     CAPTURE(static_cast<int>(trouble));
     bench.store().setTrouble(trouble);
     const std::size_t reads = bench.store().reads();
-    // A change that the trouble hides, so that the node's read comes back and meets it.
+    // A change ends the node's pending read, so that its next one is affected by the trouble.
     bench.store().put("other", "");
     CHECK(bench.runUntil([&] { return bench.store().reads() > reads; }));
     CHECK(bench.send("/x").status == 200);
@@ -76,9 +76,9 @@
   CHECK(bench.becomes("/later/x", 200));
 }
 
-// Operators emptied a zone and requests went on reaching its servers, by thousands: nobody read the
-// key that says so.
-TEST_CASE("a zone that operators drain gets nothing until they take that back") {
+// Guards against requests that reach the servers of a drained zone because the node does not read
+// the keys of drained zones.
+TEST_CASE("a zone that operators drain gets no requests until they cancel the drain") {
   NodeOnStore bench;
   bench.configure(1, "/");
   bench.listServer("ready");
@@ -99,8 +99,8 @@
   CHECK(bench.becomes("/x", 200));
 }
 
-// A node kept using a server whose entry another writer had overwritten.
-TEST_CASE("an entry that becomes unreadable names no server any more") {
+// Guards against a node that keeps using a server whose entry was overwritten by another writer.
+TEST_CASE("a server whose entry becomes invalid is not used any more") {
   NodeOnStore bench;
   bench.configure(1, "/");
   bench.listServer("ready");
--- a/tests/platform/restored_store_test.cpp
+++ b/tests/platform/restored_store_test.cpp
@@ -1,5 +1,5 @@
-// A whole node on a store that comes back from a copy some seconds old: what was acknowledged after
-// it counts, and what was known before is not undone by the copy.
+// A whole node on a store that is restored from a copy some seconds old: changes acknowledged after
+// the restore take effect, and the copy does not undo what the node knew before.
 
 #include <doctest/doctest.h>
 
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// A node that serves version 1 of a store, of which a copy is taken.
+/// A node that serves version 1 from a store, and a copy of the store at that time.
 class RestoredStore : public NodeOnStore {
  public:
   RestoredStore() {
@@ -21,14 +21,14 @@
     REQUIRE(becomes("/first/x", 200));
   }
 
-  /// Other changes, so that revisions rise.
+  /// Writes unrelated changes, so that the revision increases.
   void writeOthers(int count) {
     for (int left = count; left > 0; --left) store().put("other", std::to_string(left));
   }
-  /// Lets the node's reads after a change end: it waits for the next one then.
+  /// Lets the node finish its reads after a change, so that it waits for the next change.
   void settle() { context_.run_for(1s); }
   void pause() { context_.run_for(100ms); }
-  /// The store is away until the node has noticed, and comes back from the copy.
+  /// Makes the store unavailable until the node has noticed, and restores it from the copy.
   void restore() {
     store().setTrouble(StoreTrouble::kBusy);
     store().cutWatches();
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-TEST_CASE("changes acknowledged after the store came back from a copy are not missed") {
+TEST_CASE("changes acknowledged after the store was restored from a copy are not missed") {
   RestoredStore bench;
   bench.writeOthers(40);
   bench.configure(2, "/second/");
@@ -61,7 +61,7 @@
   CHECK(bench.becomes("/third/x", 503));
 }
 
-TEST_CASE("a leaving acknowledged before the store came back from a copy is not undone") {
+TEST_CASE("a leaving acknowledged before the store was restored from a copy is not undone") {
   RestoredStore bench;
   bench.listServer("draining");
   REQUIRE(bench.becomes("/first/x", 503));
@@ -75,7 +75,7 @@
   CHECK(bench.runs() == runs);
 }
 
-TEST_CASE("a version is in force on, though the store came back from a copy with an older one") {
+TEST_CASE("a version stays in force when the store is restored from a copy with an older one") {
   RestoredStore bench;
   bench.configure(2, "/second/");
   REQUIRE(bench.becomes("/second/x", 200));
@@ -87,7 +87,7 @@
   }
 }
 
-TEST_CASE("two restores, the second to before the first, lose no later change") {
+TEST_CASE("changes after two restores from the same copy are not missed") {
   RestoredStore bench;
   bench.writeOthers(20);
   bench.configure(2, "/second/");
--- a/tests/platform/soak_parts_test.cpp
+++ b/tests/platform/soak_parts_test.cpp
@@ -1,4 +1,4 @@
-// The soak's own parts: a judge that overlooks what it must see would make every run pass.
+// Tests of the soak's own parts. A judge that misses violations would let every run pass.
 
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -17,10 +17,10 @@
 using std::chrono::seconds;
 
 constexpr char kIp[] = "127.0.0.1";
-/// Of the loopback addresses of this process, so that two runs at once do not meet.
+/// Number of the loopback network of this process, so that two concurrent runs do not collide.
 std::uint32_t network() { return 1 + static_cast<std::uint32_t>(getpid()) % 255; }
 
-/// A judge with one machine, whose process and server are never started; time is counted from the
+/// A judge with one machine, whose process and server are never started. Times are relative to the
 /// judge's origin.
 class JudgeBench : public testing::LoopbackBench {
  public:
@@ -52,7 +52,7 @@
     versions_.prepare(added, removed);
     versions_.acknowledge(at(ms));
   }
-  /// A request that was answered 50 ms after it was sent.
+  /// Adds a request that was answered 50 ms after it was sent.
   Request& addRequest(std::size_t route, std::int64_t sent_ms, int status) {
     Request request;
     request.id = "r" + std::to_string(ledger_.all().size());
@@ -83,7 +83,7 @@
     return kindsFrom(before);
   }
   void crash(std::int64_t ms) { judge_.onCrash(kCrasher, at(ms)); }
-  /// A crashing request that was sent at m1 reaches the server there.
+  /// Makes a crashing request that was sent at m1 arrive at the server there.
   std::vector<std::string> arrived(std::int64_t ms) {
     Request& request = addRequest(0, ms, 502);
     request.crasher = kCrasher;
@@ -120,14 +120,15 @@
 
 }  // namespace
 
-TEST_CASE("a request that goes on to crash servers is found, from calm machines only") {
+TEST_CASE(
+    "a request that continues to crash servers is a violation, on machines without trouble only") {
   JudgeBench bench;
   bench.writeVersion(0, 0, 0);
   bench.crash(10'000);
   bench.crash(20'000);
   for (int count = 0; count < 10; ++count) CHECK(bench.arrived(25'000 + count).empty());
   bench.crash(30'000);
-  // Within `contact` (3 s) not all can know.
+  // Within `contact` (3 s), not all nodes can know of the crash.
   for (int count = 0; count < 10; ++count) CHECK(bench.arrived(32'000 + count).empty());
   bench.troubles().end(bench.troubles().begin("m1", TroubleKind::kUnplanned, bench.at(33'000)),
                        bench.at(34'000));
@@ -136,7 +137,9 @@
   CHECK(bench.arrived(41'000) == Kinds{"crashes_on"});
 }
 
-TEST_CASE("a version that is not in force after its bound is found, on calm machines only") {
+TEST_CASE(
+    "a version that is not in force after its bound is a violation, on machines without trouble "
+    "only") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   bench.writeVersion(10'000, 1, 0);
@@ -149,7 +152,7 @@
   CHECK(bench.judged(bench.addRequest(added, 16'100, 404)) == Kinds{"version_late"});
 }
 
-TEST_CASE("a removed route that is still served and a base route that is not are found") {
+TEST_CASE("a removed route that is still served and a base route that is not are violations") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   const std::size_t removed = bench.newestMarker();
@@ -159,7 +162,8 @@
   CHECK(bench.judged(bench.addRequest(kReadRoute, 100, 404)) == Kinds{"denied"});
 }
 
-TEST_CASE("a version that goes back within a life is found, also where no bound holds") {
+TEST_CASE(
+    "a version that goes back within a node's life is a violation, even where no bound holds") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   bench.writeVersion(10'000, 1, 0);
@@ -173,7 +177,7 @@
   CHECK(bench.judged(other_life).empty());
 }
 
-TEST_CASE("an unrepeatable request that runs twice or after its refusal is found") {
+TEST_CASE("an unrepeatable request that runs twice or despite its refusal is a violation") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   Request& refused = bench.addRequest(kWriteRoute, 100, 503);
@@ -186,13 +190,13 @@
   CHECK(bench.judgedAll() == Kinds{"ran_twice"});
 }
 
-TEST_CASE("what a planned stop cuts is found, unless other troubles excuse it") {
+TEST_CASE("a request cut by a planned stop is a violation, unless other trouble excuses it") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   bench.troubles().begin("m1", TroubleKind::kPlannedStop, bench.at(9'900));
   Request& cut = bench.addRequest(kReadRoute, 10'000, 0);
   cut.end = RequestEnd::kCut;
-  CHECK(bench.judged(cut).empty());  // Not passed on, and within the slack.
+  CHECK(bench.judged(cut).empty());  // Not forwarded, and within the slack.
   bench.addRun(cut, true);
   CHECK(bench.judged(cut) == Kinds{"cut_by_stop"});
   Request& broken_off = bench.addRequest(kReadRoute, 10'000, 502);
@@ -204,7 +208,7 @@
   CHECK(bench.judged(cut).empty());
 }
 
-TEST_CASE("a failure and a held request are found when nothing is wrong") {
+TEST_CASE("a failed request and a held one are violations when there is no trouble") {
   JudgeBench bench;
   bench.writeVersion(0, 1, 0);
   Request& failed = bench.addRequest(kReadRoute, 10'000, 502);
@@ -218,7 +222,7 @@
   CHECK(bench.judged(held).empty());
 }
 
-TEST_CASE("the same seed makes the same schedule, another one another") {
+TEST_CASE("the same seed gives the same schedule, and another seed another one") {
   const auto text = [](std::uint64_t seed) {
     ScheduleSettings settings;
     settings.seed = seed;
@@ -230,7 +234,7 @@
   CHECK(text(7) != text(8));
 }
 
-TEST_CASE("a link forwards, narrows, falls silent, resets and refuses") {
+TEST_CASE("a link forwards, limits its rate, falls silent, resets and refuses") {
   testing::LoopbackBench bench;
   auto server = std::move(*runtime::HttpServer::create(
       bench.context(), Address{kIp, 0}, {},
@@ -246,7 +250,7 @@
   std::optional<Result<runtime::HttpClientResponse>> answer;
   const auto send = [&](Duration timeout) {
     runtime::HttpClientRequest request;
-    request.method = "POST";  // Not sent again by the client.
+    request.method = "POST";  // Not retried by the client.
     answer.reset();
     client.request(front, std::move(request), timeout,
                    [&](auto received) { answer = std::move(received); });
@@ -284,12 +288,12 @@
   CHECK(ask(seconds(5)));
 }
 
-TEST_CASE("a network on which a soak listens is not taken by another") {
+TEST_CASE("a network on which a soak listens is not free for another one") {
   using Tcp = boost::asio::ip::tcp;
   std::uint32_t network = 1;
   while (!isNetworkFree(network)) ++network;
   boost::asio::io_context context;
-  // Where the first machine's store is reached.
+  // The address at which the first machine reaches the store.
   const auto ip = boost::asio::ip::make_address("127." + std::to_string(network) + ".1.1");
   const Tcp::acceptor store(context, Tcp::endpoint(ip, 8309));
   CHECK_FALSE(isNetworkFree(network));
--- a/tests/platform/store_answers_test.cpp
+++ b/tests/platform/store_answers_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("times are a number and a unit") {
+TEST_CASE("durations are a number and a unit") {
   CHECK(decodeDuration("1500ms") == milliseconds(1500));
   CHECK(decodeDuration("2.5s") == milliseconds(2500));
   for (const char* text : {"", "5", "ms", "-1s", "1m", "1 s", "nan s", "1e300s"}) {
@@ -34,7 +34,7 @@
   }
 }
 
-TEST_CASE("a configuration becomes the product's model, unknown kinds are left out") {
+TEST_CASE("a configuration is decoded to the product's model without unknown entry types") {
   const auto configuration = decodeConfiguration(kConfiguration);
   REQUIRE(configuration.has_value());
   CHECK(configuration->version == Version(7));
@@ -56,7 +56,7 @@
   CHECK(configuration->limits.idle_timeout == std::chrono::seconds(15));
 }
 
-TEST_CASE("a route for large bodies is one that may not be repeated") {
+TEST_CASE("a route of type upload must not be retried") {
   std::string text = kConfiguration;
   text.replace(text.find("unsafe"), 6, "upload");
   const auto configuration = decodeConfiguration(text);
@@ -65,7 +65,7 @@
   CHECK(seat.repeatability == model::Repeatability::kNever);
 }
 
-TEST_CASE("a route for large answers may be repeated") {
+TEST_CASE("a route of type download may be retried") {
   std::string text = kConfiguration;
   text.replace(text.find("\"safe\""), 6, "\"download\"");
   const auto configuration = decodeConfiguration(text);
@@ -76,7 +76,7 @@
 
 namespace {
 
-/// A configuration of these tenants, each as the fields of its spec.
+/// Returns a configuration with one tenant for each spec, given as the fields of the spec.
 std::string withTenants(std::initializer_list<std::string> specs) {
   std::string text = R"({"version":"r1","resources":[)";
   int number = 0;
@@ -90,7 +90,7 @@
 
 }  // namespace
 
-TEST_CASE("a tenant becomes its keys' digests, its rank, its quota and its regions") {
+TEST_CASE("a tenant is decoded to its key digests, rank, quota and regions") {
   const auto configuration = decodeConfiguration(
       withTenants({R"("api_keys":["k2","k1","k2"],"priority":1,"rate_per_s":25.5,"burst":30,
                       "allowed_regions":["west","east"])",
@@ -104,14 +104,14 @@
   CHECK(first.quota.rate_per_1000_s == 25'500);
   CHECK(first.quota.burst == 30);
   CHECK(first.regions == std::vector{RegionId("east"), RegionId("west")});
-  // One that lost its last key stays a tenant: nobody can use it.
+  // A tenant without keys remains a tenant that nobody can use.
   const model::Tenant& second = configuration->tenants.at(TenantName("t2"));
   CHECK(second.key_digests.empty());
   CHECK_FALSE(second.rank.has_value());
   CHECK_FALSE(second.quota.isLimited());
 }
 
-TEST_CASE("a wrong tenant is refused with the whole configuration, without telling a key") {
+TEST_CASE("a configuration with an invalid tenant is refused, and the error contains no key") {
   for (const char* spec :
        {"", R"("api_keys":"secret")", R"("api_keys":[7])", R"("api_keys":[""])",
         R"("api_keys":["secret"],"rate_per_s":-1)", R"("api_keys":["secret"],"rate_per_s":"9")",
@@ -128,7 +128,9 @@
   CHECK(shared.error().message == "tenants 't1' and 't2' hold the same API key");
 }
 
-TEST_CASE("a configuration that is cut, odd or names an unknown service is refused whole") {
+TEST_CASE(
+    "a configuration that is truncated, invalid or names an unknown service is refused as a "
+    "whole") {
   const std::string whole = kConfiguration;
   for (std::size_t size = 0; size < whole.size(); size += 7) {
     CHECK_FALSE(decodeConfiguration(whole.substr(0, size)).has_value());
@@ -146,7 +148,7 @@
         ErrorKind::kMissingDependency);
 }
 
-TEST_CASE("what is wrong in a configuration is told with its field") {
+TEST_CASE("the error for an invalid configuration names the field") {
   const auto mistake = [](const std::string& text) {
     const auto configuration = decodeConfiguration(text);
     return configuration ? std::string() : configuration.error().message;
@@ -162,9 +164,9 @@
   CHECK(route(R"(,"priority":"odd","priority":2)") == "");
   for (const char* number : {"-1", "1.0", "1e2", "18446744073709551616", "\"1\"", "[]", "true"}) {
     CHECK(route(std::string(R"(,"priority":)") + number) ==
-          "configuration: field 'priority' is no number");
+          "configuration: field 'priority' is not a number");
   }
-  CHECK(route(R"(,"timeout":5)") == "configuration: field 'timeout' is no text");
+  CHECK(route(R"(,"timeout":5)") == "configuration: field 'timeout' is not a string");
   CHECK(route(R"(,"traffic_split":[{"service":"s"}])") ==
         "configuration: field 'weight' is missing");
   CHECK(route(R"(,"traffic_split":[7])") == "configuration: field 'service' is missing");
@@ -175,7 +177,8 @@
         "configuration: field 'entry_type' is missing");
   CHECK(mistake(R"({"version":"r1","resources":{"a":{}}})") ==
         "configuration: field 'entry_type' is missing");
-  CHECK(mistake(R"({"version":1,"resources":[]})") == "configuration: field 'version' is no text");
+  CHECK(mistake(R"({"version":1,"resources":[]})") ==
+        "configuration: field 'version' is not a string");
   CHECK(mistake("[]") == "configuration: field 'version' is missing");
   for (const char* text : {"", "{} {}", "{\"a\":\"\xff\"}", "{\"a\":\"\\ud800\"}", "{\"a\":1,}"}) {
     CHECK(mistake(text) == "configuration: not JSON");
@@ -183,7 +186,7 @@
   CHECK(mistake(std::string(100'000, '[')) == "configuration: not JSON");
 }
 
-TEST_CASE("a server's entry becomes the product's") {
+TEST_CASE("a server's entry is decoded to the product's model") {
   const auto server = decodeServer("i-1", kServer);
   REQUIRE(server.has_value());
   CHECK(server->id == EndpointId("i-1"));
@@ -195,7 +198,7 @@
   CHECK_FALSE(decodeServer("i-1", R"({"service":"s1"})").has_value());
 }
 
-TEST_CASE("a watch's answer: changes, removals, other keys, and what cannot be read") {
+TEST_CASE("the answer to a watch has changes, removals, other keys and invalid entries") {
   const auto batch = decodeEvents(R"({"events":[
     {"private_key":"servers/i-1","revision":5,"gone":true},
     {"private_key":"servers/i-2","revision":6,"value":"bm9kZS0x"},
@@ -204,7 +207,7 @@
     {"private_key":"other","revision":8,"value":"bm9kZS0x"}],"timestamp":9})");
   REQUIRE(batch.has_value());
   CHECK(batch->revision == Generation(9));
-  // An entry that cannot be read names no server, also where an earlier one did.
+  // A server with an invalid entry counts as removed, even if an earlier entry was valid.
   REQUIRE(batch->removed_servers.size() == 2);
   CHECK(batch->removed_servers[0] == EndpointId("i-1"));
   CHECK(batch->removed_servers[1] == EndpointId("i-2"));
@@ -214,10 +217,10 @@
   CHECK(batch->servers[0].revision == Generation(7));
 }
 
-// Another writer's entries stood among the servers': one with a state that nobody knows was taken
-// for a server that leaves, one without slots for a server, and a key that was no text made the
-// node refuse the whole page, so that servers that came and went were not noticed.
-TEST_CASE("entries of another writer name no server, and the others hold") {
+// Guards against invalid entries of another writer among those of the servers: an unknown state
+// must not count as leaving, an entry without slots is no server, and a key that is not a string
+// must not make the node refuse the whole page, since changes of other servers would be missed.
+TEST_CASE("invalid entries of another writer are rejected, and the other entries are used") {
   const std::string good = kServer;
   const auto with = [&](const std::string& from, const std::string& to) {
     std::string text = good;
@@ -255,7 +258,7 @@
   CHECK(page->last_key == "servers/i-3");
 }
 
-TEST_CASE("an operator's key drains a zone, and its end takes that back") {
+TEST_CASE("an operator's key drains a zone, and its removal cancels the drain") {
   const auto batch = decodeEvents(R"({"events":[
     {"private_key":"op/evacuate/north","revision":5,"value":"e30="},
     {"private_key":"op/evacuate/south","revision":6,"gone":true}],"timestamp":9})");
@@ -266,7 +269,7 @@
                                         {ZoneId("south"), false, Generation(6)}});
 }
 
-TEST_CASE("what a cold server of a service bears is read with the configuration") {
+TEST_CASE("the request rate of a cold server is decoded with the configuration") {
   const auto rate = [](const std::string& spec) {
     const auto configuration = decodeConfiguration(
         R"({"version":"r1","resources":[{"entry_type":"services","metadata":{"name":"s"},"spec":)" +
@@ -283,7 +286,7 @@
   CHECK(rate("{}").cold_rate_per_1000_s == 0);
 }
 
-TEST_CASE("of one server's end and return in one answer the later one stands") {
+TEST_CASE("if one answer has the removal and the return of a server, the later one counts") {
   const std::string end = R"({"private_key":"servers/i-3","revision":5,"gone":true})";
   const std::string entry = R"({"private_key":"servers/i-3","revision":6,"value":
      "eyJzZXJ2aWNlIjoicyIsImFkZHJlc3MiOiIxLjIuMy40OjUiLCJ6b25lIjoiYSIsInNsb3RzIjo0LCJzdGF0ZSI6InJlYWR5In0="})";
@@ -300,7 +303,7 @@
   CHECK(ended->servers.empty());
 }
 
-TEST_CASE("pages tell where the next one begins") {
+TEST_CASE("a page contains the key after which the next page starts") {
   const auto page = decodePage(
       R"({"items":[{"private_key":"x","revision":1,"value":""}],"has_more":true,"timestamp":3})");
   REQUIRE(page.has_value());
--- a/tests/platform/store_client_test.cpp
+++ b/tests/platform/store_client_test.cpp
@@ -1,4 +1,4 @@
-// The adapter's reads over real sockets, against the stand-in store.
+// The reads of the platform's adapter over real sockets, against the stand-in store.
 
 #include "store_client.h"
 
@@ -17,7 +17,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Far longer than any read takes; only a fault of the test would let it pass.
+/// Far longer than any read takes; expires only if the test is broken.
 constexpr Duration kPatience = seconds(20);
 constexpr Duration kShort = milliseconds(60);
 
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-TEST_CASE("each topic is read by itself: nothing of the other one comes along") {
+TEST_CASE("each topic is read separately, without changes of the other one") {
   Bench bench;
   const auto servers = bench.list();
   REQUIRE(servers.has_value());
@@ -98,12 +98,12 @@
   const auto changed = bench.watchConfiguration(3, seconds(2));
   CHECK(changed->configurations.size() == 1);
   CHECK(changed->removed_servers.empty());
-  // Both go on from the store's one count of revisions.
+  // Both topics continue from the same revision, since the store has a single counter.
   CHECK(ended->revision == Generation(5));
   CHECK(changed->revision == Generation(5));
 }
 
-TEST_CASE("a list brings everything, page by page, with the first page's revision") {
+TEST_CASE("a list returns everything page by page, with the revision of the first page") {
   Bench bench;
   for (const std::size_t page_size : {1, 2, 3, 500}) {
     CAPTURE(page_size);
@@ -120,7 +120,7 @@
   }
 }
 
-TEST_CASE("a watch brings what changed after its revision, at once when something did") {
+TEST_CASE("a watch returns the changes since its revision at once if there are any") {
   Bench bench;
   bench.store.remove("servers/i-1");
   bench.store.put("servers/i-2", serverText("10.0.0.2:80", "draining"));
@@ -132,7 +132,7 @@
   CHECK(batch->servers[0].state == model::MachineState::kLeaving);
 }
 
-TEST_CASE("a watch waits for a change, and one that does not wait tells that there is none") {
+TEST_CASE("a watch waits for a change, and one without a wait returns an empty batch at once") {
   Bench bench;
   boost::asio::steady_timer change(bench.context, milliseconds(30));
   change.async_wait([&](boost::system::error_code) { bench.store.remove("servers/i-2"); });
@@ -143,7 +143,7 @@
   CHECK(nothing->servers.empty());
 }
 
-TEST_CASE("each trouble of the store is an error of its kind, and the next read works") {
+TEST_CASE("each failure of the store gives its own kind of error, and the next read succeeds") {
   struct Case {
     StoreTrouble trouble;
     ErrorKind kind;
@@ -170,7 +170,7 @@
   }
 }
 
-TEST_CASE("forgotten history is told as such, and a loop lists anew") {
+TEST_CASE("lost history is reported as kBaseMismatch, and the loop lists again") {
   Bench bench;
   bench.store.put("servers/i-3", serverText("10.0.0.3:80"));
   bench.store.forgetHistory();
@@ -186,7 +186,7 @@
         ++lists;
         CHECK(batch.servers.size() == 3);
         if (lists == 2) return bench.context.stop();
-        // What changes now is forgotten before the loop watches for it.
+        // The store drops this change from its history before the loop watches for it.
         bench.store.put("other", "");
         bench.store.forgetHistory();
       },
@@ -198,7 +198,7 @@
   CHECK(loop.statistics().history_lost == 1);
 }
 
-TEST_CASE("pages of two eras are no list, and the list begins anew") {
+TEST_CASE("a list whose pages are of two eras fails, and the next list succeeds") {
   Bench bench;
   bench.store.setPageSize(1);
   const auto copy = bench.store.copy();
@@ -219,7 +219,7 @@
   CHECK(whole->servers.front().revision.era == Era(1));
 }
 
-TEST_CASE("a watch from another era brings nothing, also where its number is known") {
+TEST_CASE("a watch from another era fails, even if its revision number is known") {
   Bench bench;
   const auto copy = bench.store.copy();
   bench.store.put("servers/i-3", serverText("10.0.0.3:80"));
@@ -234,7 +234,7 @@
   }
 }
 
-TEST_CASE("a watch that waits while the store comes back from a copy brings nothing") {
+TEST_CASE("a watch that waits while the store is restored from a copy fails") {
   Bench bench;
   const auto copy = bench.store.copy();
   std::optional<Result<WatchBatch>> answer;
@@ -249,7 +249,7 @@
   CHECK(answer->has_error());
 }
 
-TEST_CASE("a refusal that names a later era is no more than a refusal") {
+TEST_CASE("a refusal with a later era keeps its own kind of error") {
   Bench bench;
   bench.store.restore(*bench.store.copy());
   bench.store.setTrouble(StoreTrouble::kBusy);
@@ -257,7 +257,7 @@
   REQUIRE(refused.has_error());
   CHECK(refused.error().kind == ErrorKind::kUnavailable);
   bench.store.setTrouble(StoreTrouble::kNone);
-  // What was missed shows afterwards all the same.
+  // The restore is still detected by the next watch.
   CHECK(bench.watch(3, kShort).error().kind == ErrorKind::kBaseMismatch);
 }
 
--- a/tests/platform/store_stand_in.cpp
+++ b/tests/platform/store_stand_in.cpp
@@ -29,7 +29,7 @@
   return text;
 }
 
-/// The value of one parameter of the query, or an empty text.
+/// Returns the value of a parameter of the query, or an empty string.
 std::string_view parameter(std::string_view target, std::string_view name) {
   std::string_view rest = target.substr(std::min(target.find('?'), target.size()));
   while (!rest.empty()) {
@@ -226,13 +226,13 @@
   Json body = {{"events", Json::array()}, {"timestamp", revision_}};
   for (const Event& event : events_) {
     if (event.revision <= revision || !event.key.starts_with(prefix)) continue;
-    Json told = {{"private_key", event.key}, {"revision", event.revision}};
+    Json event_json = {{"private_key", event.key}, {"revision", event.revision}};
     if (event.value) {
-      told["value"] = encodeBase64(*event.value);
+      event_json["value"] = encodeBase64(*event.value);
     } else {
-      told["gone"] = true;
+      event_json["gone"] = true;
     }
-    body["events"].push_back(std::move(told));
+    body["events"].push_back(std::move(event_json));
   }
   return body.dump();
 }
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// A stand-in for the platform's store: items with revisions, ranges in pages, watches, and the
-/// troubles a store can have. Serves on a free port of loopback unless told another address.
+/// A stand-in for the platform's store: items with revisions, ranges in pages, watches, and
+/// failures of a store. Serves on a free loopback port unless another address is given.
 
 #include <boost/asio/steady_timer.hpp>
 #include <map>
@@ -16,14 +16,14 @@
 
 namespace coursepond::platform {
 
-/// How the store treats reads.
+/// The failure that the store shows to reads.
 enum class StoreTrouble {
   kNone,
-  kBusy,       ///< 503: nothing was done.
-  kThrottled,  ///< 429.
-  kSilent,     ///< No answer, the connection stays open.
-  kReset,      ///< The connection ends without an answer.
-  kGarbled,    ///< An answer that is no JSON.
+  kBusy,       ///< Answers 503: the read was not executed.
+  kThrottled,  ///< Answers 429.
+  kSilent,     ///< Does not answer and keeps the connection open.
+  kReset,      ///< Closes the connection without an answer.
+  kGarbled,    ///< Answers with invalid JSON.
 };
 
 class StoreStandIn {
@@ -37,25 +37,25 @@
   void put(const std::string& key, const std::string& value);
   void remove(const std::string& key);
   bool holds(const std::string& key) const { return items_.contains(key); }
-  /// Null when there is no such item.
+  /// Returns null if there is no such item.
   const std::string* find(const std::string& key) const;
   std::vector<std::string> keys(std::string_view prefix) const;
-  /// Writes a value that counts as no change: the revision stays and no watch hears of it.
+  /// Writes a value without a change: the revision stays, and watches do not return it.
   void touch(const std::string& key, const std::string& value);
-  /// Forgets what changed so far: watches from before get 410.
+  /// Drops the history of changes: watches from earlier revisions are answered with 410.
   void forgetHistory();
-  /// Watches that wait hear of no change while the store is silent; they go on after it.
+  /// Pending watches are not answered while the store is silent, and continue afterwards.
   void setTrouble(StoreTrouble trouble);
-  /// Ends the connections of the watches that wait.
+  /// Closes the connections of pending watches.
   void cutWatches();
-  /// What the store holds now, its history included.
+  /// The contents of the store, its history included.
   struct Copy;
   std::shared_ptr<const Copy> copy() const;
-  /// Goes back to what it held then: what was written since is lost, and its revisions are given
-  /// out again. Watches that wait are cut.
+  /// Restores the contents from `copy` and starts a new era. Later writes are lost, and their
+  /// revision numbers are used again. Closes the connections of pending watches.
   void restore(const Copy& copy);
   std::uint64_t era() const { return era_; }
-  /// Every answer is sent so much later.
+  /// Sets the delay of every answer.
   void setDelay(Duration delay) { delay_ = delay; }
   void setPageSize(std::size_t items) { page_size_ = items; }
 
@@ -70,9 +70,9 @@
   struct Event {
     std::string key;
     std::uint64_t revision = 0;
-    std::optional<std::string> value;  ///< Nothing: the item is gone.
+    std::optional<std::string> value;  ///< None if the item was removed.
   };
-  /// A watch without an event to tell yet; answered without any when its wait is over.
+  /// A pending watch without an event so far. Answered without events when its wait is over.
   struct Watcher {
     std::uint64_t after = 0;
     std::string prefix;
@@ -95,7 +95,7 @@
   std::map<std::string, Item> items_;
   std::vector<Event> events_;
   std::vector<Watcher> watchers_;
-  std::vector<runtime::HttpResponder> unanswered_;  ///< Kept, so that nobody gets an end.
+  std::vector<runtime::HttpResponder> unanswered_;  ///< Kept, so that their connections stay open.
   std::uint64_t revision_ = 0;
   std::uint64_t forgotten_ = 0;
   std::uint64_t era_ = 0;
--- a/tests/source/held_state_test.cpp
+++ b/tests/source/held_state_test.cpp
@@ -22,7 +22,7 @@
   return server;
 }
 
-/// `version` with one route that has this target.
+/// Returns configuration `version` with one route that has the target latency `target`.
 model::Configuration makeConfiguration(std::uint64_t version, Duration target) {
   model::Configuration configuration;
   configuration.version = Version(version);
@@ -57,7 +57,7 @@
   return batch;
 }
 
-/// A node that took in a list: revision 10, version 7, servers i-1 and i-2.
+/// Returns the state of a node after a list: revision 10, version 7, servers i-1 and i-2.
 HeldState makeHeld() {
   HeldState held;
   held.rememberVersions(3);
@@ -66,7 +66,7 @@
   return held;
 }
 
-/// The update after it went to another node.
+/// Returns the update as another node receives it: encoded and decoded.
 StateUpdate sent(const StateUpdate& update) {
   Result<StateUpdate> read = decodeStateUpdate(encodeStateUpdate(update));
   REQUIRE(read.has_value());
@@ -75,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("a node that knows nothing is told everything") {
+TEST_CASE("a node without any state is sent everything") {
   const HeldState held = makeHeld();
   CHECK(held.hasServersSince(Generation()));
   const StateUpdate servers = sent(held.serversSince(Generation()));
@@ -93,11 +93,11 @@
   CHECK(*configuration.configuration == makeConfiguration(7, milliseconds(300)));
 }
 
-TEST_CASE("a node that knows all is told nothing") {
+TEST_CASE("a node that is up to date is sent nothing") {
   HeldState held = makeHeld();
   CHECK_FALSE(held.hasServersSince(Generation(10)));
   CHECK_FALSE(held.hasConfigurationSince(Version(7), Generation(100)));
-  // The source goes on counting without a change that matters here.
+  // The source's revision increases without a relevant change.
   CHECK_FALSE(held.updateServers(makeBatch(12, std::vector<model::ServerEntry>()), false));
   CHECK_FALSE(held.updateConfiguration(makeBatch(13, std::vector<model::ServerEntry>())));
   CHECK_FALSE(held.hasServersSince(Generation(10)));
@@ -106,7 +106,7 @@
   CHECK(held.revision(Topic::kConfiguration) == Generation(13));
 }
 
-TEST_CASE("what changed is told: who came, who went, and how the configuration differs") {
+TEST_CASE("an update contains the added and removed servers and the delta of the configuration") {
   HeldState held = makeHeld();
   WatchBatch changes = makeBatch(14, {makeServer("i-3", 13)});
   changes.removed_servers = {EndpointId("i-1")};
@@ -128,7 +128,7 @@
   CHECK(*batch->configurations[0] == makeConfiguration(8, milliseconds(400)));
 }
 
-TEST_CASE("a delta that does not fit what is held is refused") {
+TEST_CASE("a delta with another base than the held configuration is refused") {
   HeldState held = makeHeld();
   held.updateConfiguration(makeBatch(14, makeConfiguration(8, milliseconds(400))));
   const StateUpdate update = held.configurationSince(Version(7));
@@ -137,7 +137,7 @@
   CHECK(toBatch(update, nullptr).error().kind == ErrorKind::kBaseMismatch);
 }
 
-TEST_CASE("a version that is no longer remembered is answered with the whole configuration") {
+TEST_CASE("a node with a version that is no longer kept is sent the whole configuration") {
   HeldState held = makeHeld();
   for (std::uint64_t version = 8; version < 20; ++version) {
     held.updateConfiguration(
@@ -158,7 +158,7 @@
   CHECK(held.revision(Topic::kConfiguration) == Generation(10));
 }
 
-TEST_CASE("who is missing from a later list went; who came back did not") {
+TEST_CASE("a server missing in a later list counts as removed, unless it came back") {
   HeldState held = makeHeld();
   CHECK(held.updateServers(makeBatch(20, {makeServer("i-2", 9)}), true));
   CHECK(held.serversSince(Generation(10)).removed_servers ==
@@ -170,7 +170,7 @@
 }
 
 TEST_CASE(
-    "who asks from before the first list, or from before forgotten ends, is told everything") {
+    "a revision before the first list or before forgotten removals is answered with everything") {
   HeldState held = makeHeld();
   CHECK(held.serversSince(Generation(4)).is_complete);
   for (std::uint64_t step = 0; step < 1000; ++step) {
@@ -184,7 +184,7 @@
   CHECK_FALSE(held.serversSince(Generation(2090)).is_complete);
 }
 
-TEST_CASE("an update that is cut or damaged is refused whole") {
+TEST_CASE("a truncated or corrupt update is refused as a whole") {
   const HeldState held = makeHeld();
   for (const StateUpdate& update :
        {held.serversSince(Generation()), held.configurationSince(Version())}) {
@@ -196,7 +196,7 @@
   CHECK(decodeStateUpdate("\xA0").error().kind == ErrorKind::kMalformed);
 }
 
-TEST_CASE("drained zones are told to a node that does not know of their last change") {
+TEST_CASE("drained zones are sent to a node that does not know their last change") {
   HeldState held = makeHeld();
   WatchBatch batch;
   batch.revision = Generation(20);
@@ -206,7 +206,7 @@
   CHECK(held.hasConfigurationSince(Version(7), Generation(19)));
   CHECK_FALSE(held.hasConfigurationSince(Version(7), Generation(20)));
 
-  // Also through the wire, without the configuration that the asker holds.
+  // Also after encoding and decoding, without the configuration that the asker already holds.
   const auto update = decodeStateUpdate(encodeStateUpdate(held.configurationSince(Version(7))));
   REQUIRE(update.has_value());
   CHECK_FALSE(update->configuration);
@@ -223,7 +223,7 @@
   const auto later = toBatch(held.configurationSince(Version(7)), follower.configuration().get());
   CHECK(follower.updateConfiguration(*later));
   CHECK(follower.drainedZones() == std::set{ZoneId("south")});
-  // A list that names none.
+  // A list without drained zones.
   WatchBatch list;
   list.revision = Generation(22);
   list.lists_zones = true;
--- a/tests/source/peer_reader_test.cpp
+++ b/tests/source/peer_reader_test.cpp
@@ -10,14 +10,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// What a node knows that heard of nothing but this revision.
+/// Returns an update that contains only a revision.
 StateUpdate makeUpdate(std::uint64_t revision) {
   StateUpdate update;
   update.revision = Generation(revision);
   return update;
 }
 
-class HeldPeers final : public PeerStateClient {
+class ControlledPeers final : public PeerStateClient {
  public:
   void read(const std::string& host, const PeerQuestion& question, Duration,
             PeerStateCallback callback) override {
@@ -34,7 +34,7 @@
 
 struct ReaderFixture {
   proxy::VirtualEnvironment environment;
-  HeldPeers peers;
+  ControlledPeers peers;
   HeldState held;
   std::vector<std::uint64_t> learned;
   PeerReader reader{PeerReaderSettings(), peers, held, environment,
@@ -65,12 +65,12 @@
   CHECK(fixture.peers.hosts.size() == asked);
 }
 
-TEST_CASE("a peer is asked about what the source fails to tell, and about nothing else") {
+TEST_CASE("a peer is asked only about the topics whose reads from the source fail") {
   ReaderFixture fixture;
   fixture.reader.notePeer("10.0.0.1");
   fixture.reader.onSourceFailed(Topic::kServers);
   fixture.reader.onSourceFailed(Topic::kConfiguration);
-  // The servers are read again: that does not end the questions about the configuration.
+  // The servers can be read again. This does not end the questions about the configuration.
   fixture.reader.onSourceAnswered(Topic::kServers);
   fixture.environment.advance(seconds(1));
   CHECK(fixture.peers.topics == std::set<Topic>{Topic::kConfiguration});
@@ -79,7 +79,7 @@
   CHECK(fixture.peers.topics.size() == 2);
 }
 
-TEST_CASE("a node that knows nobody asks who connects to it") {
+TEST_CASE("a node that knows no peers asks a node that connects to it") {
   ReaderFixture fixture;
   fixture.reader.onSourceFailed(Topic::kServers);
   fixture.environment.advance(seconds(1));
@@ -92,7 +92,7 @@
   CHECK(fixture.learned == std::vector<std::uint64_t>{5});
 }
 
-TEST_CASE("only what is newer is taken in") {
+TEST_CASE("only newer state of a peer is applied") {
   ReaderFixture fixture;
   fixture.reader.notePeer("10.0.0.9");
   fixture.hold(8);
--- a/tests/source/reader_choice_test.cpp
+++ b/tests/source/reader_choice_test.cpp
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("all nodes name the same readers, in whatever order they know the machines") {
+TEST_CASE("all nodes choose the same readers, regardless of the order of the machines") {
   std::vector<NodeMachine> machines = makeMachines(74, 3);
   const std::vector<NodeMachine> readers = planReaders(machines, {}).readers;
   std::mt19937 random(5);
@@ -31,35 +31,37 @@
   }
 }
 
-TEST_CASE("readers are few whatever the fleet's size, and stand in different zones") {
+TEST_CASE("a fleet of any size has few readers, and they are in different zones") {
   for (const std::size_t count : {1, 2, 3, 13, 74, 300, 984, 1968, 3100}) {
     CAPTURE(count);
     const ReaderPlan plan = planReaders(makeMachines(count, 3), {});
-    const std::size_t most = count > 1700 ? 6 : 3;
+    const std::size_t max_readers = count > 1700 ? 6 : 3;
     CHECK(plan.readers.size() >= std::min<std::size_t>(count, 3));
-    CHECK(plan.readers.size() <= most);
+    CHECK(plan.readers.size() <= max_readers);
     std::set<ZoneId> zones;
     for (const NodeMachine& reader : plan.readers) zones.insert(reader.zone);
     CHECK(zones.size() == std::min<std::size_t>(count, 3));
   }
 }
 
-// With one reader for 24 nodes, 41 nodes of 984 read the source. Their reads and those at the start
-// of the fleet cost a quarter of what it served.
-TEST_CASE("the reads of four times the nodes are hardly more, and nobody answers more than 24") {
-  constexpr std::size_t kMostAsked = 24;
+// Guards against a number of readers that grows with the number of nodes: each read of the source
+// has a cost.
+TEST_CASE(
+    "the readers at most double with four times the nodes, and no node answers more than 24 "
+    "others") {
+  constexpr std::size_t kMaxAsked = 24;
   const std::size_t few = planReaders(makeMachines(775, 6), {}).readers.size();
   const std::size_t many = planReaders(makeMachines(3100, 6), {}).readers.size();
   CHECK(many <= 2 * few);
   for (const std::size_t nodes : {775, 3100}) {
     CAPTURE(nodes);
     const ReaderPlan plan = planReaders(makeMachines(nodes, 6), {});
-    CHECK(plan.relays.size() <= plan.readers.size() * kMostAsked);
-    CHECK(nodes <= plan.relays.size() * kMostAsked);
+    CHECK(plan.relays.size() <= plan.readers.size() * kMaxAsked);
+    CHECK(nodes <= plan.relays.size() * kMaxAsked);
   }
 }
 
-TEST_CASE("a node is a reader, a relay or a follower, and asks the ones before it") {
+TEST_CASE("a node is a reader, a relay or a follower, and asks nodes of the level above") {
   const std::vector<NodeMachine> machines = makeMachines(300, 3);
   const ReaderPlan plan = planReaders(machines, {});
   REQUIRE(plan.relays.size() == 13);
@@ -77,7 +79,7 @@
   CHECK(few.parentsOf(ReaderRole::kFollower) == few.readers);
 }
 
-TEST_CASE("the own zone's relay is asked first, and a failed one's nodes spread") {
+TEST_CASE("a node asks a relay in its own zone first, and nodes spread evenly over the relays") {
   const std::vector<NodeMachine> machines = makeMachines(300, 3);
   const std::vector<NodeMachine> readers = planReaders(machines, {}).relays;
   std::map<std::string, int> asked_first;
@@ -94,7 +96,7 @@
   for (const auto& [host, count] : asked_first) CHECK(count < 60);
 }
 
-TEST_CASE("nobody to choose from") {
+TEST_CASE("no machines give no readers, no relays and nobody to ask") {
   CHECK(planReaders({}, {}).readers.empty());
   CHECK(planReaders({}, {}).relays.empty());
   CHECK(askingOrder({"10.0.0.1", ZoneId("a")}, {}).empty());
--- a/tests/source/reader_discovery_test.cpp
+++ b/tests/source/reader_discovery_test.cpp
@@ -24,7 +24,7 @@
   return listed;
 }
 
-/// Answers each sample at once with what it holds.
+/// A source whose samples the test answers.
 class SampledSource final : public WatchClient {
  public:
   void list(Duration, WatchCallback) override { ++lists; }
@@ -44,7 +44,7 @@
   std::vector<WatchCallback> callbacks;
 };
 
-class HeldPeers final : public PeerStateClient {
+class ControlledPeers final : public PeerStateClient {
  public:
   void read(const std::string& host, const PeerQuestion& question, Duration,
             PeerStateCallback callback) override {
@@ -68,7 +68,7 @@
   }
   proxy::VirtualEnvironment environment;
   SampledSource source;
-  HeldPeers peers;
+  ControlledPeers peers;
   std::optional<ReaderDiscovery> discovery;
   int calls = 0;
   std::vector<NodeMachine> found;
@@ -76,7 +76,7 @@
 
 }  // namespace
 
-TEST_CASE("a sample that holds all servers is enough") {
+TEST_CASE("a complete sample is enough: no peer is asked") {
   Fixture fixture;
   fixture.source.answer(60, true);
   CHECK(fixture.calls == 1);
@@ -84,9 +84,9 @@
   CHECK(fixture.peers.hosts.empty());
 }
 
-// Each node of a fleet that started listed the source, at 984 nodes in five pages; with too many
-// readers, a day took 9,114 reads, whose price was a quarter of what the fleet served.
-TEST_CASE("of a larger fleet the sample names one to ask, and only readers read the source") {
+// Guards against every node of a starting fleet listing the whole source (five pages for each of
+// 984 nodes): each read has a cost.
+TEST_CASE("in a large fleet, nodes ask a sampled machine, and only the readers read the source") {
   constexpr std::size_t kSampled = 200;
   int readers = 0;
   for (std::size_t own = 0; own < kSampled; ++own) {
@@ -106,10 +106,11 @@
   CHECK(readers == 3);
 }
 
-TEST_CASE("peers that do not answer are left for others, and then the source is read") {
+TEST_CASE(
+    "after a peer that does not answer the next one is asked, and at last the source is read") {
   Fixture fixture(199);
   fixture.source.answer(200, false);
-  for (std::size_t asked = 0; asked < DiscoverySettings().most_peers; ++asked) {
+  for (std::size_t asked = 0; asked < DiscoverySettings().max_peers; ++asked) {
     CHECK(fixture.calls == 0);
     REQUIRE(fixture.peers.callbacks.size() == asked + 1);
     fixture.peers.callbacks[asked](Error{ErrorKind::kTimeout, "", ""});
@@ -118,7 +119,7 @@
   CHECK(fixture.found.empty());
 }
 
-TEST_CASE("a failing source, or one that lists nothing for long, is left to the usual reads") {
+TEST_CASE("discovery ends without machines when the source fails or stays empty") {
   Fixture failing;
   failing.source.callbacks[0](Error{ErrorKind::kUnavailable, "", ""});
   CHECK(failing.calls == 1);
--- a/tests/source/relay_client_test.cpp
+++ b/tests/source/relay_client_test.cpp
@@ -18,7 +18,7 @@
   WatchCallback callback;
 };
 
-class HeldSource final : public WatchClient {
+class ControlledSource final : public WatchClient {
  public:
   void list(Duration timeout, WatchCallback callback) override {
     reads.push_back({true, Generation(), Duration(0), timeout, std::move(callback)});
@@ -42,7 +42,7 @@
   PeerStateCallback callback;
 };
 
-class HeldPeers final : public PeerStateClient {
+class ControlledPeers final : public PeerStateClient {
  public:
   void read(const std::string& host, const PeerQuestion& question, Duration timeout,
             PeerStateCallback callback) override {
@@ -74,8 +74,8 @@
 
 constexpr Topic kTopics[] = {Topic::kServers, Topic::kConfiguration};
 
-/// A node that listed the source: revision 10, and version 7 where the topic is the configuration.
-/// Its readers are "r1" and "r2".
+/// A node that has listed the source: revision 10, and version 7 if the topic is the configuration.
+/// Its parents are "r1" and "r2".
 class RelayFixture {
  public:
   explicit RelayFixture(bool is_reader, Topic read_topic = Topic::kConfiguration)
@@ -85,7 +85,7 @@
     const std::uint64_t version = topic == Topic::kConfiguration ? 7 : 0;
     source.answer(makeBatch(10, version));
     client.setReaders({"r1", "r2"}, is_reader ? ReaderRole::kReader : ReaderRole::kFollower);
-    // A list right after a version; then the source has nothing newer.
+    // A reader lists again right after a new version. The source has nothing newer then.
     if (is_reader) {
       watch();
       source.answer(makeBatch(10, version));
@@ -94,7 +94,7 @@
     answers.clear();
   }
 
-  /// A reader has just answered it.
+  /// Makes the node a relay whose parent has just answered.
   void becomeFreshRelay() {
     client.setReaders({"r1", "r2"}, ReaderRole::kRelay);
     watch();
@@ -123,8 +123,8 @@
   Topic topic;
   proxy::VirtualEnvironment environment;
   RelaySettings settings;
-  HeldSource source;
-  HeldPeers peers;
+  ControlledSource source;
+  ControlledPeers peers;
   HeldState held;
   RelayClient client;
   std::vector<Result<WatchBatch>> answers;
@@ -133,20 +133,21 @@
 
 }  // namespace
 
-// Callers got 404 for routes of a version that was acknowledged while the one before still arrived.
-TEST_CASE("a version that took long to arrive vouches from when it was asked for") {
+// Guards against 404 answers for routes of a version that was acknowledged while the previous
+// version was still being received: the age of a batch must include its transfer time.
+TEST_CASE("the age of a version includes the time that it took to arrive") {
   RelayFixture reader(true);
   reader.watch();
   reader.environment.advance(seconds(3));
   reader.source.answer(makeBatch(12, 8));
   REQUIRE(reader.answers.size() == 1);
   CHECK(reader.answers[0]->age == Duration(seconds(3)));
-  // The list that follows it.
+  // The list that follows the new version.
   reader.watch();
   reader.environment.advance(milliseconds(400));
   reader.source.answer(makeBatch(12, 8));
   CHECK(reader.answers[1]->age == Duration(milliseconds(400)));
-  // That there is nothing newer is said at the end of the wait.
+  // An answer without changes is sent at the end of the wait, so its age is zero.
   reader.watch();
   reader.environment.advance(seconds(1));
   reader.source.answer(makeBatch(13));
@@ -168,7 +169,7 @@
   CHECK(follower.answers.back()->age == Duration(milliseconds(100)));
 }
 
-TEST_CASE("a node that is no reader waits at its first reader, and never at the source") {
+TEST_CASE("a follower waits at its first parent and not at the source") {
   for (const Topic topic : kTopics) {
     CAPTURE(topicWord(topic));
     RelayFixture fixture(false, topic);
@@ -190,8 +191,7 @@
   }
 }
 
-TEST_CASE(
-    "a node that knows readers has the whole configuration from one of them, not the source") {
+TEST_CASE("a node with parents gets the whole configuration from a parent, not from the source") {
   RelayFixture fixture(false);
   RelayFixture fresh(false, Topic::kServers);
   HeldState nothing;
@@ -210,7 +210,7 @@
   REQUIRE((*answer)->configurations.size() == 1);
   CHECK((*answer)->configurations[0]->version == Version(7));
 
-  // One reader that fails is enough: a node that serves nothing yet goes to the source.
+  // After the first parent that fails, a node without a configuration reads the source.
   client.list(seconds(1), take);
   fresh.peers.fail(ErrorKind::kTimeout);
   CHECK(fresh.peers.reads.size() == 2);
@@ -218,7 +218,7 @@
   CHECK(fresh.source.reads[0].is_list);
 }
 
-TEST_CASE("a reader that fails is left: the next, then the source, each asked without waiting") {
+TEST_CASE("after a failed parent, the next one and then the source are asked without waiting") {
   RelayFixture fixture(false);
   fixture.watch();
   fixture.peers.fail(ErrorKind::kTimeout);
@@ -231,14 +231,14 @@
   fixture.source.answer(makeBatch(11));
   REQUIRE(fixture.answers.size() == 1);
   CHECK(fixture.answers[0]->revision == Generation(11));
-  // What reads the source may tell others.
+  // A node that reads the source may answer others.
   CHECK(fixture.client.isFresh());
 
-  // The one that does not read the source now is asked again soon, the silent one later.
+  // The parent that is not fresh is asked again soon, the silent one later.
   fixture.environment.advance(fixture.settings.avoid_unfit);
   fixture.watch();
   CHECK(fixture.peers.reads.back().host == "r2");
-  // Once after the list that it began with, and now again.
+  // Once after the initial list, and now again.
   CHECK(fixture.freshness_lost == 2);
   fixture.peers.answer(std::optional<StateUpdate>());
   fixture.environment.advance(fixture.settings.avoid_silent);
@@ -246,7 +246,8 @@
   CHECK(fixture.peers.reads.back().host == "r1");
 }
 
-TEST_CASE("a reader waits at the source for less than others wait for it") {
+TEST_CASE(
+    "a reader waits at the source for the configured time, and is stale after a failed read") {
   for (const Topic topic : kTopics) {
     CAPTURE(topicWord(topic));
     RelayFixture fixture(true, topic);
@@ -259,8 +260,8 @@
     fixture.source.answer(makeBatch(11));
     CHECK(fixture.client.isFresh());
     fixture.environment.advance(seconds(5));
-    // It did not get to read for long, as after a freeze. A configuration may be on its way for as
-    // long: whether the process stood still shows by the servers (TwoHopNode asks both).
+    // No read for a long time, as after a freeze. A configuration may take as long to arrive, so
+    // only the reads of the servers detect a pause of the process (TwoHopNode checks both topics).
     CHECK(fixture.client.isFresh() == (topic == Topic::kConfiguration));
     fixture.watch();
     fixture.source.fail(ErrorKind::kTimeout);
@@ -268,7 +269,7 @@
   }
 }
 
-TEST_CASE("a reader that the source turns away hands its role on and asks the others") {
+TEST_CASE("a reader whose read of the source fails is no longer fresh and asks other readers") {
   RelayFixture fixture(true);
   fixture.watch();
   fixture.source.fail(ErrorKind::kUnavailable);
@@ -286,7 +287,7 @@
   CHECK(fixture.source.reads.size() == 2);
 }
 
-TEST_CASE("when every path fails, the caller is told once") {
+TEST_CASE("when every path fails, the caller gets one error") {
   RelayFixture fixture(false);
   fixture.watch();
   fixture.peers.fail(ErrorKind::kTimeout);
@@ -298,7 +299,7 @@
   CHECK(fixture.source.reads.size() == 1);
 }
 
-TEST_CASE("a source that forgot what changed is told to the caller, who lists") {
+TEST_CASE("lost history of the source is reported to the caller, which lists again") {
   RelayFixture fixture(true);
   fixture.watch();
   fixture.source.fail(ErrorKind::kBaseMismatch);
@@ -307,7 +308,8 @@
   CHECK(fixture.peers.reads.empty());
 }
 
-TEST_CASE("after a new version a reader reads the newest state, not each version of a storm") {
+TEST_CASE(
+    "after a new version a reader lists the newest state instead of each version of a burst") {
   RelayFixture fixture(true);
   fixture.watch();
   fixture.source.answer(makeBatch(12, 8));
@@ -317,14 +319,15 @@
   CHECK(fixture.answers.back()->is_complete);
   fixture.watch();
   CHECK(fixture.source.reads.back().is_list);
-  // Nothing newer: nothing is told, and from now on it waits again.
+  // The list has nothing newer, so the batch has no change and the next read waits again.
   fixture.source.answer(makeBatch(20, 15));
   CHECK(fixture.answers.back()->configurations.empty());
   fixture.watch();
   CHECK_FALSE(fixture.source.reads.back().is_list);
 }
 
-TEST_CASE("a delta is applied to what is held; one that does not fit is replaced by the whole") {
+TEST_CASE(
+    "a delta is applied to the held version, and the whole is requested if it does not apply") {
   RelayFixture fixture(false);
   fixture.watch();
   StateUpdate update;
@@ -347,8 +350,8 @@
   CHECK(fixture.held.version() == Version(9));
 }
 
-TEST_CASE("a follower that listed the source once does not list it for ever after") {
-  // It listed version 7 itself when it started; since then a reader told it that nothing changed.
+TEST_CASE("a follower that listed the source at its start does not list it again later") {
+  // The follower listed version 7 at its start. Since then a parent answered that nothing changed.
   RelayFixture fixture(false);
   fixture.watch();
   fixture.peers.answer(std::optional<StateUpdate>());
@@ -356,18 +359,18 @@
   fixture.peers.fail(ErrorKind::kTimeout);
   fixture.peers.fail(ErrorKind::kTimeout);
   REQUIRE(fixture.source.reads.size() == 1);
-  // What changed after revision 10 is nothing; a list is the whole configuration.
+  // Nothing changed since revision 10, while a list would return the whole configuration.
   CHECK_FALSE(fixture.source.reads[0].is_list);
 }
 
-// The source was down for eight seconds: every node read it again and again beside its readers,
-// which did the same for all of them, and each of these reads was paid for.
-TEST_CASE("while the source fails, nodes that are no readers leave it to the readers") {
+// Guards against every node retrying reads of a source that is down: the readers already do so on
+// behalf of all nodes, and each read has a cost.
+TEST_CASE("while the source fails, followers leave the retries to the readers") {
   for (const Topic topic : kTopics) {
     CAPTURE(topicWord(topic));
     RelayFixture fixture(false, topic);
     if (topic == Topic::kServers) {
-      // Without a configuration a node has nothing to serve with, and reads where it can.
+      // A node without a configuration cannot serve requests, and would read from any path.
       fixture.held.updateConfiguration(makeBatch(9, 7));
     }
     std::size_t rounds = 0;
@@ -386,17 +389,18 @@
     }
     CHECK(rounds == 14);
     CHECK(fixture.source.reads.size() <= 5);
-    // A reader that reads the source again is heard at once.
+    // An answer of a parent that reads the source again is used at once.
     fixture.watch();
     fixture.peers.answer(std::optional<StateUpdate>());
     CHECK(fixture.answers.back().has_value());
   }
 }
 
-// A rolling stop began with the readers, the busiest nodes. All others read the configuration from
-// the source at once, some versions of a storm whole each; their links were full for two seconds,
-// in which a third of the usual part of the requests was in time.
-TEST_CASE("when all readers stop at once, a few nodes read the configuration in their place") {
+// Guards against all nodes reading the configuration from the source at the same time when a
+// rolling stop begins with the readers: each would read several versions of a burst in full, which
+// saturates the nodes' links and delays requests.
+TEST_CASE(
+    "when all readers stop at once, only a few nodes read the configuration from the source") {
   constexpr std::size_t kNodes = 60;
   RelayFixture fixture(false);
   fixture.client.setReaders({"r1", "r2"}, ReaderRole::kFollower, kNodes);
@@ -413,11 +417,11 @@
     }
     fixture.environment.advance(fixture.settings.avoid_unfit);
   }
-  // Six of sixty in each turn.
+  // About six of sixty in each turn.
   CHECK(fixture.source.reads.size() > turns / 20);
   CHECK(fixture.source.reads.size() < turns / 6);
 
-  // Servers that leave must be known soon, and their entries are small.
+  // Leaving servers must be known soon and their entries are small, so every node reads them.
   RelayFixture servers(false, Topic::kServers);
   servers.client.setReaders({"r1", "r2"}, ReaderRole::kFollower, kNodes);
   servers.watch();
@@ -426,7 +430,7 @@
   CHECK(servers.source.reads.size() == 1);
 }
 
-TEST_CASE("a node that has just started asks the next reader when one does not read now") {
+TEST_CASE("a node that has just started asks the next parent when one is not fresh") {
   RelayFixture fixture(false, Topic::kServers);
   HeldState nothing;
   RelayClient client(fixture.settings, Topic::kConfiguration, fixture.source, fixture.peers,
@@ -440,7 +444,7 @@
   CHECK(fixture.source.reads.size() == 1);
 }
 
-TEST_CASE("a relay that a reader answers is fresh, and a follower is not") {
+TEST_CASE("a relay is fresh after an answer of its parent, a follower is not") {
   for (const ReaderRole role : {ReaderRole::kRelay, ReaderRole::kFollower}) {
     CAPTURE(roleWord(role));
     RelayFixture fixture(false, Topic::kServers);
@@ -451,7 +455,7 @@
   }
 }
 
-TEST_CASE("who waits at a relay goes on waiting while its reader is left for another") {
+TEST_CASE("a relay stays fresh while it changes to another parent") {
   RelayFixture fixture(false, Topic::kServers);
   fixture.becomeFreshRelay();
   fixture.watch();
@@ -462,7 +466,7 @@
   CHECK(fixture.freshness_lost == 0);
 }
 
-TEST_CASE("a relay whose readers and source all fail sends away who waits at it") {
+TEST_CASE("a relay loses its freshness when all its parents and the source fail") {
   RelayFixture fixture(false, Topic::kServers);
   fixture.becomeFreshRelay();
   fixture.watch();
@@ -474,7 +478,7 @@
   CHECK(fixture.freshness_lost == 1);
 }
 
-TEST_CASE("a relay that stood still finds itself stale by its reads of the servers") {
+TEST_CASE("a relay is stale after a pause of its process that is longer than two reads") {
   RelayFixture fixture(false, Topic::kServers);
   fixture.becomeFreshRelay();
   fixture.environment.pause(2 * (fixture.settings.peer_wait + fixture.settings.peer_slack));
--- a/tests/source/restored_source_test.cpp
+++ b/tests/source/restored_source_test.cpp
@@ -1,5 +1,5 @@
-// What a node holds across the restore of its source from an older copy: nothing that was known
-// goes back, and nothing is believed for ever.
+// The state that a node holds while its source is restored from an older copy: known state does not
+// go back, and unconfirmed state is not kept indefinitely.
 
 #include <doctest/doctest.h>
 
@@ -48,7 +48,7 @@
   return batch;
 }
 
-/// `changes` are of the drained zones.
+/// Returns a batch with `changes` of the drained zones.
 WatchBatch makeZones(SourceRevision revision, std::vector<ZoneChange> changes, bool lists) {
   WatchBatch batch = makeBatch(revision);
   batch.zone_changes = std::move(changes);
@@ -64,7 +64,7 @@
 
 using Ids = std::vector<std::string>;
 
-/// A node that knows i-1 and i-2 as of revision 50 of era 1.
+/// Returns the state of a node that knows i-1 and i-2 as of revision 50 of era 1.
 HeldState makeHeld() {
   HeldState held;
   held.updateServers(
@@ -72,7 +72,7 @@
   return held;
 }
 
-/// What the node would use: all that it tells, or keeps for itself until it is written again.
+/// Returns the states of the updated servers by id.
 std::map<std::string, model::MachineState> statesAfter(const ServerChanges& changes) {
   std::map<std::string, model::MachineState> states;
   for (const model::ServerEntry& server : changes.updated) states[server.id.value()] = server.state;
@@ -81,7 +81,7 @@
 
 }  // namespace
 
-TEST_CASE("a copy with lower revisions is taken in") {
+TEST_CASE("the list of a restored source is applied although its revisions are lower") {
   HeldState held = makeHeld();
   const ServerChanges changes = held.updateServers(
       makeBatch(at(2, 30), {makeServer("i-1", at(2, 10)), makeServer("i-3", at(2, 20))}), true);
@@ -92,35 +92,35 @@
   CHECK(held.updateServers(makeBatch(at(2, 31), {makeServer("i-1", at(2, 31), kLeaving)}), false));
 }
 
-TEST_CASE("an answer of the era before the restore changes nothing") {
+TEST_CASE("an answer from the era before the restore is ignored") {
   HeldState held = makeHeld();
   held.updateServers(makeBatch(at(2, 30), {makeServer("i-1", at(2, 10))}), true);
   CHECK_FALSE(held.updateServers(makeBatch(at(1, 99), {makeServer("i-9", at(1, 98))}), true));
   CHECK(held.revision(Topic::kServers) == at(2, 30));
 }
 
-TEST_CASE("a server that was leaving goes on leaving when the copy says that it is ready") {
+TEST_CASE("a leaving server remains leaving when the copy lists it as ready") {
   HeldState held = makeHeld();
   held.updateServers(makeBatch(at(1, 60), {makeServer("i-2", at(1, 60), kLeaving)}), false);
   ServerChanges changes;
-  SUBCASE("in its list") {
+  SUBCASE("in the list of the source") {
     changes = held.updateServers(makeBatch(at(2, 45), {makeServer("i-2", at(2, 40))}), true);
     CHECK(statesAfter(changes).at("i-2") == kLeaving);
   }
-  SUBCASE("told by another node") {
+  SUBCASE("in the update for another node") {
     changes = held.updateServers(makeBatch(at(2, 45), {makeServer("i-2", at(2, 40))}), true);
     const StateUpdate told = held.serversSince(at(1, 60));
     REQUIRE(told.is_complete);
     CHECK(told.servers.front().state == kLeaving);
   }
-  SUBCASE("but another start of it does not") {
+  SUBCASE("but another start of it is ready") {
     changes = held.updateServers(
         makeBatch(at(2, 45), {makeServer("i-2", at(2, 44), kReady, kStart + 1)}), true);
     CHECK(statesAfter(changes).at("i-2") == kReady);
   }
 }
 
-TEST_CASE("a server that the copy lacks is used until it had time to write again") {
+TEST_CASE("a server missing in the copy is used until it had time to write its entry again") {
   HeldState held = makeHeld();
   const ServerChanges changes =
       held.updateServers(makeBatch(at(2, 30), {makeServer("i-1", at(2, 10))}), true);
@@ -129,11 +129,11 @@
   SUBCASE("and dropped when it did not") {
     CHECK(held.dropUnconfirmedServers().removed == std::vector{EndpointId("i-2")});
   }
-  SUBCASE("and kept when it did, with a number that was given out before") {
+  SUBCASE("and kept when it did, with a revision number that was used before the restore") {
     held.updateServers(makeBatch(at(2, 35), {makeServer("i-2", at(2, 35))}), false);
     CHECK(held.dropUnconfirmedServers().empty());
   }
-  SUBCASE("also across a list of the same era, as another node tells it") {
+  SUBCASE("also across a list of the same era, as sent by another node") {
     CHECK(held.updateServers(makeBatch(at(2, 33), {makeServer("i-1", at(2, 10))}), true)
               .removed.empty());
   }
@@ -144,7 +144,7 @@
   }
 }
 
-TEST_CASE("a server that went is not used because the copy still lists it") {
+TEST_CASE("a removed server that the copy still lists is not used at once") {
   HeldState held = makeHeld();
   WatchBatch end = makeBatch(at(1, 60));
   end.removed_servers = {EndpointId("i-2")};
@@ -158,17 +158,17 @@
     lapse.removed_servers = {EndpointId("i-2")};
     CHECK(held.updateServers(lapse, false).empty());
     CHECK(held.acceptDoubtedServers().empty());
-    // Who was told of it by this node hears of its end.
+    // Nodes that received the server from this node are sent its removal.
     CHECK(held.serversSince(at(2, 45)).removed_servers == std::vector{EndpointId("i-2")});
   }
-  SUBCASE("also when a list of the same era tells it again") {
+  SUBCASE("also when a list of the same era contains it again") {
     CHECK(held.updateServers(copy, true).empty());
     CHECK(held.servers().doubted() == 1);
   }
-  SUBCASE("it is there after all: its entry stays") {
+  SUBCASE("it is used when its entry does not expire") {
     CHECK(idsOf(held.acceptDoubtedServers().updated) == Ids{"i-2"});
   }
-  SUBCASE("it is there after all: its entry changes") {
+  SUBCASE("it is used when its entry changes") {
     const WatchBatch again = makeBatch(at(2, 46), {makeServer("i-2", at(2, 46))});
     CHECK(idsOf(held.updateServers(again, false).updated) == Ids{"i-2"});
     CHECK(held.servers().doubted() == 0);
@@ -180,7 +180,7 @@
   }
 }
 
-TEST_CASE("a node of an earlier era is told all servers, one of a later era nothing") {
+TEST_CASE("a node of an earlier era is sent all servers, one of a later era nothing") {
   HeldState held = makeHeld();
   held.updateServers(makeBatch(at(2, 30), {makeServer("i-1", at(2, 10))}), true);
   CHECK(held.hasServersSince(at(1, 1000)));
@@ -189,63 +189,63 @@
   REQUIRE(told.has_value());
   CHECK(told->is_complete);
   CHECK(told->revision == at(2, 30));
-  // Not i-2: the other node waits for it by itself, or never knew it.
+  // Not i-2: the other node waits for its entry by itself, or never knew it.
   CHECK(idsOf(told->servers) == Ids{"i-1"});
   CHECK(told->servers.front().revision == at(2, 10));
   CHECK_FALSE(held.hasServersSince(at(3, 1)));
   CHECK_FALSE(held.hasConfigurationSince(Version(0), at(3, 1)));
 }
 
-TEST_CASE("the version in force stays when the copy has an older one, and a later one follows") {
+TEST_CASE("the version in force stays when the copy has an older one, and a later one is applied") {
   HeldState held;
   held.updateConfiguration(makeVersion(at(1, 50), 7));
   CHECK_FALSE(held.updateConfiguration(makeVersion(at(2, 20), 5)));
   CHECK(held.version() == Version(7));
   CHECK(held.revision(Topic::kConfiguration) == at(2, 20));
   CHECK(held.updateConfiguration(makeVersion(at(2, 21), 8)));
-  SUBCASE("also when a node that has not heard of the restore tells it") {
+  SUBCASE("also when a node that does not know of the restore sends it") {
     CHECK(held.updateConfiguration(makeVersion(at(1, 60), 9)));
     CHECK(held.version() == Version(9));
     CHECK(held.revision(Topic::kConfiguration) == at(2, 21));
   }
 }
 
-TEST_CASE("drained zones stand across a restore until an operator writes again") {
+TEST_CASE("the state of drained zones is kept across a restore until an operator writes again") {
   const ZoneId north("north");
   const ZoneId south("south");
   HeldState held;
   held.updateConfiguration(makeZones(at(1, 50), {{north, true, at(1, 45)}}, true));
-  SUBCASE("the copy lacks one") {
+  SUBCASE("the copy lacks a drained zone") {
     CHECK_FALSE(held.updateConfiguration(makeZones(at(2, 30), {}, true)));
     CHECK(held.drainedZones() == std::set{north});
-    SUBCASE("which is written again, and taken back later") {
+    SUBCASE("which is drained again, and cancelled later") {
       held.updateConfiguration(makeZones(at(2, 31), {{north, true, at(2, 31)}}, false));
       CHECK_FALSE(held.settleZones());
       CHECK(held.updateConfiguration(makeZones(at(2, 32), {{north, false, at(2, 32)}}, false)));
     }
     SUBCASE("which is not written again") { CHECK(held.settleZones()); }
-    SUBCASE("which another node tells as written, and later as taken back") {
+    SUBCASE("which another node lists as drained, and later as cancelled") {
       held.updateConfiguration(makeZones(at(2, 31), {{north, true}}, true));
       CHECK(held.updateConfiguration(makeZones(at(2, 32), {}, true)));
     }
   }
-  SUBCASE("the copy has one that was taken back") {
+  SUBCASE("the copy has a zone whose drain was cancelled") {
     const WatchBatch copy =
         makeZones(at(2, 30), {{north, true, at(2, 20)}, {south, true, at(2, 20)}}, true);
     CHECK_FALSE(held.updateConfiguration(copy));
     SUBCASE("and that is drained again") {
       CHECK(held.updateConfiguration(makeZones(at(2, 31), {{south, true, at(2, 31)}}, false)));
     }
-    SUBCASE("and that nobody takes back again") { CHECK(held.settleZones()); }
+    SUBCASE("and that nobody cancels again") { CHECK(held.settleZones()); }
     CHECK(held.drainedZones() == std::set{north, south});
   }
-  SUBCASE("one that was drained after all that was known here counts") {
+  SUBCASE("a zone that was drained after everything this node knew is drained") {
     CHECK(held.updateConfiguration(
         makeZones(at(2, 60), {{north, true, at(2, 45)}, {south, true, at(2, 55)}}, true)));
   }
 }
 
-TEST_CASE("what was held across a restore ends by itself") {
+TEST_CASE("state held across a restore expires") {
   proxy::VirtualEnvironment environment;
   HeldState held = makeHeld();
   WatchBatch end = makeBatch(at(1, 60));
@@ -268,11 +268,11 @@
   settling.onRestored(Topic::kConfiguration);
   CHECK(settling.mayLackVersion());
   environment.advance(milliseconds(1500));
-  // A second restore begins the waits anew.
+  // A second restore restarts the waits.
   settling.onRestored(Topic::kServers);
   environment.advance(milliseconds(1900));
   CHECK(all.empty());
-  // Nobody can write while the source is away again.
+  // A failure of the source restarts the waits, since nobody can write meanwhile.
   settling.onSourceFailed(Topic::kServers);
   settling.onSourceFailed(Topic::kConfiguration);
   environment.advance(milliseconds(1900));
@@ -285,7 +285,7 @@
   environment.advance(seconds(5));
   CHECK(have_zones_changed);
   CHECK_FALSE(settling.mayLackVersion());
-  // What has ended does not begin anew.
+  // A wait that has ended is not restarted.
   all = {};
   settling.onSourceFailed(Topic::kServers);
   environment.advance(seconds(10));
--- a/tests/source/source_reader_test.cpp
+++ b/tests/source/source_reader_test.cpp
@@ -53,7 +53,7 @@
   source::SourceReader reader{source::SourceSettings{}, environment, client, sink};
 };
 
-TEST_CASE_FIXTURE(Fixture, "only the holder of the role reads") {
+TEST_CASE_FIXTURE(Fixture, "only a node with the reader role reads the platform") {
   time.runFor(10s);
   CHECK(platform.reads() == 0);
   reader.setRole(true);
@@ -76,7 +76,7 @@
   CHECK(sink.generations.size() == 1);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a new version is passed on within the interval") {
+TEST_CASE_FIXTURE(Fixture, "a new version is passed to the sink within the interval") {
   reader.setRole(true);
   time.runFor(5s);
   platform.publish(8, documentText(8, {"a", "b"}));
@@ -84,7 +84,9 @@
   CHECK(sink.versions == std::vector{Version(7), Version(8)});
 }
 
-TEST_CASE_FIXTURE(Fixture, "a version that a peer staged is read once, as witness of publication") {
+TEST_CASE_FIXTURE(
+    Fixture,
+    "a version that a peer already staged is still read once, to witness its publication") {
   sink.newest_known = Version(7);
   reader.setRole(true);
   time.runFor(5s);
@@ -96,7 +98,7 @@
   CHECK(reader.statistics().stale == 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "an outage slows reading down, is told once, and ends") {
+TEST_CASE_FIXTURE(Fixture, "an outage slows down reads and is reported once, as is its end") {
   reader.setRole(true);
   time.runFor(5s);
   SUBCASE("refusing") { platform.mode = FakePlatform::Mode::kDown; }
@@ -105,7 +107,7 @@
   const auto machines_before = platform.machine_reads;
   time.runFor(600s);
   CHECK(platform.newest_reads - versions_before < 75);
-  CHECK(platform.machine_reads - machines_before < 650);  // Not above the usual rate.
+  CHECK(platform.machine_reads - machines_before < 650);  // At most the usual rate.
   CHECK(sink.count(SourceEventKind::kFailing) == 1);
   platform.mode = FakePlatform::Mode::kUp;
   platform.publish(9, documentText(9, {"a"}));
@@ -127,7 +129,8 @@
   CHECK(sink.generations.back() == Generation(4));
 }
 
-TEST_CASE_FIXTURE(Fixture, "one address failing does not flap between failing and recovered") {
+TEST_CASE_FIXTURE(
+    Fixture, "a single failing address does not cause alternating failing and recovered events") {
   reader.setRole(true);
   time.runFor(5s);
   platform.documents.erase(Version(7));
@@ -160,15 +163,16 @@
   CHECK(reader.statistics().stale > 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "malformed documents are refused whole, and a later version is taken") {
+TEST_CASE_FIXTURE(Fixture,
+                  "malformed documents are refused as a whole, and a later version is accepted") {
   reader.setRole(true);
   time.runFor(5s);
-  SUBCASE("no JSON") { platform.publish(8, "{\"version\": 8, \"routes\": ["); }
+  SUBCASE("invalid JSON") { platform.publish(8, "{\"version\": 8, \"routes\": ["); }
   SUBCASE("a route without its service") {
     platform.publish(
         8, R"({"version":8,"routes":[{"name":"r","service":"none"}],"services":[],"secrets":[]})");
   }
-  SUBCASE("another version than asked for") { platform.publish(8, documentText(9, {"a"})); }
+  SUBCASE("another version than requested") { platform.publish(8, documentText(9, {"a"})); }
   time.runFor(60s);
   CHECK(sink.versions == std::vector{Version(7)});
   CHECK(sink.count(SourceEventKind::kMalformed) == 1);
@@ -179,7 +183,7 @@
   CHECK(sink.versions.back() == Version(10));
 }
 
-TEST_CASE_FIXTURE(Fixture, "malformed machine lists are refused whole") {
+TEST_CASE_FIXTURE(Fixture, "malformed machine lists are refused as a whole") {
   reader.setRole(true);
   time.runFor(5s);
   platform.setMachines(4, R"({"generation":4,"nodes":[{"id":"n1"}],"backends":[]})");
@@ -200,7 +204,7 @@
   CHECK(reader.statistics().skipped_role > 0);
 }
 
-TEST_CASE_FIXTURE(Fixture, "answers that come after a pause count for nothing") {
+TEST_CASE_FIXTURE(Fixture, "answers that arrive after a pause are ignored") {
   platform.latency = 500ms;
   reader.setRole(true);
   time.runFor(100ms);
@@ -215,7 +219,7 @@
   CHECK(sink.versions == std::vector{Version(7)});
 }
 
-TEST_CASE_FIXTURE(Fixture, "without peers the machine list is read, with growing waits") {
+TEST_CASE_FIXTURE(Fixture, "without peers the machine list is read with increasing delays") {
   bool needed = true;
   reader.startBootstrap(2s, [&] { return needed; });
   time.runFor(1999ms);
@@ -230,7 +234,7 @@
   CHECK(platform.reads() == reads);
 }
 
-TEST_CASE_FIXTURE(Fixture, "a node whose seeds answer never asks the platform") {
+TEST_CASE_FIXTURE(Fixture, "a node whose seeds answer does not read the platform") {
   bool needed = true;
   reader.startBootstrap(2s, [&] { return needed; });
   time.runFor(1s);
@@ -261,7 +265,7 @@
   CHECK(fetch(6).mistakes.at(0).error.kind == ErrorKind::kNotFound);
 }
 
-TEST_CASE_FIXTURE(FetchFixture, "a fetch names every mistake of a document") {
+TEST_CASE_FIXTURE(FetchFixture, "a fetch returns every mistake of a document") {
   reader.setRole(true);
   time.runFor(1s);
   platform.publish(
@@ -272,7 +276,7 @@
   CHECK(outcome.mistakes.at(0).error.kind == ErrorKind::kMissingDependency);
 }
 
-TEST_CASE_FIXTURE(FetchFixture, "a fetch ends also when the platform is silent") {
+TEST_CASE_FIXTURE(FetchFixture, "a fetch times out when the platform does not answer") {
   reader.setRole(true);
   time.runFor(1s);
   platform.mode = FakePlatform::Mode::kSilent;
--- a/tests/source/watch_loop_test.cpp
+++ b/tests/source/watch_loop_test.cpp
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A source that answers when the test says so.
-class HeldClient final : public WatchClient {
+/// A source whose reads the test answers.
+class ControlledClient final : public WatchClient {
  public:
   struct Read {
     bool is_list = false;
@@ -59,7 +59,7 @@
   void fail(ErrorKind kind) { answer(Error{kind, "", ""}); }
 
   proxy::VirtualEnvironment environment;
-  HeldClient client;
+  ControlledClient client;
   WatchSettings settings;
   std::vector<std::uint64_t> revisions;
   std::vector<bool> complete;
@@ -69,7 +69,7 @@
 
 }  // namespace
 
-TEST_CASE("lists once, then goes on from the last revision") {
+TEST_CASE("a loop lists once, then watches from the last revision") {
   LoopFixture fixture;
   REQUIRE(fixture.client.reads.size() == 1);
   CHECK(fixture.client.reads[0].is_list);
@@ -83,7 +83,7 @@
   CHECK(fixture.complete == std::vector<bool>{true, false});
 }
 
-TEST_CASE("after a change it waits, so that several come in one read") {
+TEST_CASE("after a change the loop pauses, so that several changes are returned by one read") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   fixture.answer(LoopFixture::batch(11, true));
@@ -93,14 +93,14 @@
   CHECK(fixture.client.reads[2].after == Generation(11));
 }
 
-TEST_CASE("what another node told is followed by the next question at once") {
+TEST_CASE("there is no pause after a relayed answer") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(4));
-  WatchBatch told = LoopFixture::batch(6, true);
-  told.is_relayed = true;
+  WatchBatch relayed = LoopFixture::batch(6, true);
+  relayed.is_relayed = true;
   const std::size_t before = fixture.client.reads.size();
-  fixture.answer(told);
-  // Whoever told it pauses between its own reads: two pauses would add up.
+  fixture.answer(relayed);
+  // The other node pauses between its own reads, and the two pauses would add up.
   CHECK(fixture.client.reads.size() == before + 1);
   CHECK(fixture.client.reads.back().after == Generation(6));
 }
@@ -119,7 +119,8 @@
   CHECK(fixture.client.reads.back().is_list);
 }
 
-TEST_CASE("a list of an era before the one held is no list, and is asked for again after a pause") {
+TEST_CASE(
+    "a list of an earlier era than the held one is ignored and requested again after a pause") {
   LoopFixture fixture;
   WatchBatch list;
   list.revision = {Era(2), Generation(10)};
@@ -134,7 +135,7 @@
   CHECK(fixture.failures.back() == ErrorKind::kUnavailable);
 }
 
-TEST_CASE("a failed read is repeated from where it was, after a growing pause") {
+TEST_CASE("a failed read is retried from the same revision after a pause") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   for (int failure = 0; failure < 6; ++failure) {
@@ -148,20 +149,20 @@
   CHECK(fixture.failures.size() == 6);
 }
 
-TEST_CASE("after a failure it asks what changed without waiting, so that silence shows soon") {
+TEST_CASE("after a failure the loop reads without waiting for a change, to detect silence soon") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   CHECK(fixture.client.reads.back().wait == fixture.settings.wait);
   fixture.fail(ErrorKind::kTimeout);
   fixture.environment.advance(fixture.settings.backoff_limit);
   CHECK(fixture.client.reads.back().wait == Duration(0));
-  // From the end of a cut on, one failed read and one pause go by at most: within 2 s in all.
+  // After the end of a network partition, at most one failed read and one pause pass: 2 s in total.
   CHECK(fixture.client.reads.back().timeout + fixture.settings.backoff_limit <= seconds(2));
   fixture.answer(LoopFixture::batch(10));
   CHECK(fixture.client.reads.back().wait == fixture.settings.wait);
 }
 
-TEST_CASE("lost history is listed anew at once, and with pauses when that fails too") {
+TEST_CASE("after lost history the loop lists at once, and with pauses if that fails") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   fixture.fail(ErrorKind::kBaseMismatch);
@@ -176,7 +177,7 @@
   CHECK(fixture.client.reads.back().after == Generation(30));
 }
 
-TEST_CASE("a list from a replica that is behind changes nothing") {
+TEST_CASE("a list from a replica that lags behind is ignored") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   fixture.fail(ErrorKind::kBaseMismatch);
@@ -185,7 +186,7 @@
   CHECK(fixture.client.reads.back().after == Generation(10));
 }
 
-TEST_CASE("an answer that comes after a stop, or twice, is ignored") {
+TEST_CASE("a second answer to a read, or an answer after stop(), is ignored") {
   LoopFixture fixture;
   const WatchCallback first = fixture.client.reads[0].callback;
   first(LoopFixture::batch(10));
@@ -196,7 +197,7 @@
   CHECK(fixture.revisions.size() == 1);
 }
 
-TEST_CASE("what a peer told is not listed again") {
+TEST_CASE("after state from a peer the loop watches instead of listing again") {
   LoopFixture fixture;
   fixture.fail(ErrorKind::kTimeout);
   fixture.loop.resumeFrom(Generation(40));
@@ -207,12 +208,12 @@
   CHECK(fixture.client.reads[1].after == Generation(40));
 }
 
-// A node whose source was silent took the servers of a peer, up to revision 227, while a read of
-// its own was still under way. The answer to that read told of changes before: it took away eleven
-// servers that were back by 227, and the next read went on from 227. The node, and those that
-// followed it, were without them until the next list, and were not told when one of them left: it
-// got requests for 3.08 s, where 3 s are allowed.
-TEST_CASE("changes older than what another node told meanwhile are ignored") {
+// Guards against a stale answer that removes servers. A node whose source was silent applied a
+// peer's servers up to revision 227 while a read of its own was in flight. The answer to that read
+// contained earlier changes and removed servers that were back at revision 227, and the next read
+// continued from 227. Until the next list, the node and its followers lacked these servers and did
+// not notice when one of them left: it received requests for longer than the allowed 3 s.
+TEST_CASE("changes older than the state received from a peer in the meantime are ignored") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(200));
   fixture.loop.resumeFrom(Generation(227));
@@ -227,7 +228,7 @@
   CHECK(fixture.revisions == std::vector<std::uint64_t>{200, 230});
 }
 
-TEST_CASE("everything is listed anew now and then") {
+TEST_CASE("everything is listed again after the relist interval") {
   LoopFixture fixture;
   fixture.answer(LoopFixture::batch(10));
   fixture.environment.advance(fixture.settings.relist);
