--- a/src/source/held_state.h
+++ b/src/source/held_state.h
@@ -28,8 +28,8 @@
   /// one, only newer versions are applied. Returns whether anything changed.
   bool updateConfiguration(const WatchBatch& batch);
 
-  /// End the special treatment of what was held when the source was restored, and was not written
-  /// again since. See HeldServers and HeldZones.
+  /// End the waits that follow a restore of the source; see HeldServers and HeldZones. Servers and
+  /// zones that were not written again since the restore then have the state that the source lists.
   ServerChanges dropUnconfirmedServers();
   ServerChanges acceptDoubtedServers();
   bool settleZones();
--- a/src/source/watch_loop.cpp
+++ b/src/source/watch_loop.cpp
@@ -132,8 +132,8 @@
   ++statistics_.failures;
   if (error.kind == ErrorKind::kBaseMismatch) {
     ++statistics_.history_lost;
-    // Lists at once only the first time, in case the source drops its history faster than it is
-    // read.
+    // Lists without a pause only after the first loss of history since an answered watch: the
+    // source may drop its history faster than it is read.
     const bool is_first = !must_list_ && !std::exchange(lost_history_, true);
     must_list_ = true;
     on_failure_(error);
--- a/tests/source/held_state_test.cpp
+++ b/tests/source/held_state_test.cpp
@@ -211,9 +211,9 @@
   REQUIRE(update.has_value());
   CHECK_FALSE(update->configuration);
   HeldState follower = makeHeld();
-  const auto told = toBatch(*update, follower.configuration().get());
-  REQUIRE(told.has_value());
-  CHECK(follower.updateConfiguration(*told));
+  const auto received = toBatch(*update, follower.configuration().get());
+  REQUIRE(received.has_value());
+  CHECK(follower.updateConfiguration(*received));
   CHECK(follower.drainedZones() == held.drainedZones());
 
   WatchBatch back;
--- a/tests/source/restored_source_test.cpp
+++ b/tests/source/restored_source_test.cpp
@@ -109,9 +109,9 @@
   }
   SUBCASE("in the update for another node") {
     changes = held.updateServers(makeBatch(at(2, 45), {makeServer("i-2", at(2, 40))}), true);
-    const StateUpdate told = held.serversSince(at(1, 60));
-    REQUIRE(told.is_complete);
-    CHECK(told.servers.front().state == kLeaving);
+    const StateUpdate received = held.serversSince(at(1, 60));
+    REQUIRE(received.is_complete);
+    CHECK(received.servers.front().state == kLeaving);
   }
   SUBCASE("but another start of it is ready") {
     changes = held.updateServers(
@@ -184,14 +184,14 @@
   HeldState held = makeHeld();
   held.updateServers(makeBatch(at(2, 30), {makeServer("i-1", at(2, 10))}), true);
   CHECK(held.hasServersSince(at(1, 1000)));
-  const Result<StateUpdate> told =
+  const Result<StateUpdate> received =
       decodeStateUpdate(encodeStateUpdate(held.serversSince(at(1, 1000))));
-  REQUIRE(told.has_value());
-  CHECK(told->is_complete);
-  CHECK(told->revision == at(2, 30));
+  REQUIRE(received.has_value());
+  CHECK(received->is_complete);
+  CHECK(received->revision == at(2, 30));
   // Not i-2: the other node waits for its entry by itself, or never knew it.
-  CHECK(idsOf(told->servers) == Ids{"i-1"});
-  CHECK(told->servers.front().revision == at(2, 10));
+  CHECK(idsOf(received->servers) == Ids{"i-1"});
+  CHECK(received->servers.front().revision == at(2, 10));
   CHECK_FALSE(held.hasServersSince(at(3, 1)));
   CHECK_FALSE(held.hasConfigurationSince(Version(0), at(3, 1)));
 }
