--- a/src/distribution/acceptance.h
+++ b/src/distribution/acceptance.h
@@ -1,11 +1,13 @@
 #pragma once
 
-/// Confirming a plan: prepare at a majority of zones, commit, answer once a majority of zones
-/// hold the record. See docs/design/ACCEPTANCE.md.
+/// Confirms a plan in two phases: the coordinator collects leases from a majority of zones
+/// (prepare), then commits, and reports success once a majority of zones store the record.
+/// See docs/design/ACCEPTANCE.md.
 ///
-/// AcceptanceVoter answers prepares and commits on every node that is asked; AcceptanceCoordinator
-/// runs on the node whose API the operator called. Both are driven by control::ControlPlane and
-/// read and raise the AcceptanceRecord that distribution::Replica owns.
+/// AcceptanceVoter answers prepare and commit messages on every node that receives them.
+/// AcceptanceCoordinator runs on the node whose API the operator called. Both are driven by
+/// control::ControlPlane; they read and advance the AcceptanceRecord that distribution::Replica
+/// owns.
 
 #include <cstdint>
 #include <deque>
@@ -21,33 +23,37 @@
 
 namespace coursepond::distribution {
 
-/// Where voter and coordinator read and raise the node's record.
+/// Gives the voter and the coordinator access to the node's acceptance record.
 class RecordHolder {
  public:
   virtual ~RecordHolder() = default;
   virtual const AcceptanceRecord& record() const = 0;
-  /// Merges by maximum; spreads it when it is news. Returns true when it was.
+  /// Replaces the node's record if `record` is newer and propagates it to other nodes in that case.
+  /// Returns true if it was newer.
   virtual bool offer(const AcceptanceRecord& record) = 0;
 };
 
-/// The answer to an operator. kConflict, kBaseMismatch and kNoQuorum mean: nothing took effect.
-/// kOutcomeUnknown means it may still take effect; the remedy tells how to find out.
+/// Receives the result for the operator. kConflict, kBaseMismatch and kNoQuorum mean that nothing
+/// took effect. kOutcomeUnknown means that the plan may still take effect; the remedy of the error
+/// says how to find out.
 using ConfirmCallback = std::function<void(Result<AcceptanceRecord>)>;
 
-/// Whether this node may grant a lease for `proposed`: it knows what is accepted, and it holds the
-/// proposed content, so that an accepted version can always be had from a majority of zones.
+/// Returns whether this node may grant a lease for `proposed`. It may if it knows the accepted
+/// record and stores the proposed content, so that the content of an accepted version is always
+/// available from a majority of zones.
 using GrantCheck = std::function<bool(const AcceptanceRecord& proposed)>;
 
-/// Grants leases and takes commits. A voter gives one lease at a time; a commit counts only while
-/// its attempt still holds the lease, so of two plans on one base at most one gathers a majority.
+/// Grants leases and accepts commits. A voter grants one lease at a time and accepts a commit only
+/// while the attempt that sent it holds the lease. Of two plans with the same base, at most one can
+/// therefore reach a majority.
 class AcceptanceVoter {
  public:
   /// All references must outlive this.
   AcceptanceVoter(Environment& environment, MessageSender<AcceptanceMessage>& sender,
                   RecordHolder& holder, GrantCheck may_grant);
-  /// Takes Prepare, Commit and Release messages; answers the sender. Other messages are ignored.
+  /// Handles Prepare, Commit and Release messages and replies to the sender. Ignores all others.
   void onMessage(const NodeId& from, const AcceptanceMessage& message);
-  /// The process was paused: live leases count as expired.
+  /// Called when the process has been paused: drops the lease, which may have expired meanwhile.
   void onPauseDetected();
 
  private:
@@ -60,11 +66,13 @@
   void onPrepare(const NodeId& from, const Prepare& prepare);
   void onCommit(const NodeId& from, const Commit& commit);
   void onRelease(const Release& release);
-  /// Why the prepare cannot be granted now; nothing when it can.
+  /// Returns the reason why the prepare cannot be granted now, or nothing if it can.
   std::optional<Refused> refusalOf(const Prepare& prepare) const;
   bool holdsLease(const AttemptKey& attempt) const;
-  bool leaseLive() const;
-  /// A coordinator runs one attempt at a time, so its newer attempt ends its older one.
+  bool hasActiveLease() const;
+  /// Returns whether `attempt` belongs to the coordinator that holds the lease and is not older
+  /// than the lease. A coordinator runs one attempt at a time, so its newer attempt ends its older
+  /// one.
   bool mayReplaceLease(const AttemptKey& attempt) const;
   Refused makeRefusal(const AttemptKey& attempt, ErrorKind kind) const;
 
@@ -73,15 +81,15 @@
   RecordHolder& holder_;
   GrantCheck may_grant_;
   std::optional<Lease> lease_;
-  std::deque<AttemptKey> committed_;  ///< The last few, to answer repeated commits.
-  std::deque<AttemptKey> released_;   ///< The last few, to ignore prepares that arrive late.
+  std::deque<AttemptKey> committed_;  ///< Most recent ones, to answer retransmitted commits.
+  std::deque<AttemptKey> released_;   ///< Most recent ones, to ignore prepares that arrive late.
 };
 
 /// Confirms plans on behalf of operators, one at a time.
 class AcceptanceCoordinator {
  public:
-  /// All references must outlive this. `sender` must also deliver to `self`, and never from inside
-  /// the call.
+  /// All references must outlive this. `sender` must also deliver messages addressed to `self`, but
+  /// never synchronously inside send().
   AcceptanceCoordinator(NodeId self, Environment& environment,
                         MessageSender<AcceptanceMessage>& sender, RecordHolder& holder,
                         AcceptanceSettings settings);
@@ -89,23 +97,26 @@
   AcceptanceCoordinator(const AcceptanceCoordinator&) = delete;
   AcceptanceCoordinator& operator=(const AcceptanceCoordinator&) = delete;
 
-  /// Calls back exactly once, within prepare_timeout + commit_timeout, possibly from inside the
-  /// call. One plan at a time per node: another is refused with kConflict; the same one shares the
-  /// outcome. `view` must hold every zone of the mesh, cut-off ones included.
+  /// Invokes `callback` exactly once, within prepare_timeout + commit_timeout, possibly before this
+  /// function returns. A node confirms one plan at a time: a call for another plan fails with
+  /// kConflict, a call for the same plan gets the same outcome. `view` must contain every zone of
+  /// the mesh, including unreachable ones.
   void confirm(const PlanId& plan, const AcceptanceRecord& proposed, const membership::View& view,
                ConfirmCallback callback);
 
-  /// Takes the answers of voters. Other messages are ignored.
+  /// Handles the replies of voters. Ignores all other messages.
   void onMessage(const NodeId& from, const AcceptanceMessage& message);
-  /// The process was paused: a plan that was not committed yet is refused, never committed late.
+  /// Called when the process has been paused: fails a plan that has not been committed yet, so that
+  /// it is never committed late.
   void onPauseDetected();
 
  private:
   class Attempt;
 
   std::optional<Error> refusalBeforeStart(const AcceptanceRecord& proposed) const;
-  /// A refusal, or "unknown" when an earlier commit of the same plan may still take effect.
-  Error truthfulRefusal(const PlanId& plan, const AcceptanceRecord& proposed, Error error) const;
+  /// Returns `error`, or kOutcomeUnknown if an earlier commit of the same plan may still take
+  /// effect.
+  Error refusalOrUnknown(const PlanId& plan, const AcceptanceRecord& proposed, Error error) const;
   void finish(const Result<AcceptanceRecord>& outcome);
   void rememberUnresolved(const PlanId& plan);
 
@@ -116,7 +127,7 @@
   AcceptanceSettings settings_;
   std::uint64_t next_attempt_;
   std::unique_ptr<Attempt> attempt_;
-  std::deque<PlanId> unresolved_;  ///< Plans whose commit was sent without a known outcome.
+  std::deque<PlanId> unresolved_;  ///< Plans whose commit was sent but whose outcome is not known.
 };
 
 }  // namespace coursepond::distribution
--- a/src/distribution/acceptance_attempt.cpp
+++ b/src/distribution/acceptance_attempt.cpp
@@ -3,17 +3,18 @@
 namespace coursepond::distribution {
 namespace {
 
-/// A record must be on this many machines of a zone, or on all of a smaller zone's.
-constexpr std::size_t kMachinesPerZone = 2;
+/// Minimum number of machines of a zone that must store a record; a smaller zone needs all of its
+/// machines.
+constexpr std::size_t kMinMachinesPerZone = 2;
 
 ZoneBallot makeZoneBallot(const membership::View& view, const membership::ZoneView& zone) {
   ZoneBallot ballot;
   for (const membership::Member& voter : membership::votersOf(view, zone.zone)) {
-    ballot.voters.emplace(voter.id, VoterStep::kAsked);
+    ballot.voters.emplace(voter.id, VoterState::kAsked);
   }
   const std::size_t machines = std::max(zone.node_count, ballot.voters.size());
   const std::size_t majority = ballot.voters.size() / 2 + 1;
-  ballot.needed = std::max(majority, std::min(kMachinesPerZone, machines));
+  ballot.needed = std::max(majority, std::min(kMinMachinesPerZone, machines));
   return ballot;
 }
 
@@ -32,7 +33,7 @@
   }
 }
 
-VoterStep* Ballot::find(const NodeId& voter) {
+VoterState* Ballot::find(const NodeId& voter) {
   for (ZoneBallot& zone : zones_) {
     const auto found = zone.voters.find(voter);
     if (found != zone.voters.end()) {
@@ -44,8 +45,8 @@
 
 void Ballot::restart() {
   for (ZoneBallot& zone : zones_) {
-    for (auto& [id, step] : zone.voters) {
-      step = VoterStep::kAsked;
+    for (auto& [id, state] : zone.voters) {
+      state = VoterState::kAsked;
     }
   }
 }
@@ -56,27 +57,27 @@
 
 bool Ballot::committed() const {
   return majorityOf(
-      [](const ZoneBallot& zone) { return zone.count(VoterStep::kCommitted) >= zone.needed; });
+      [](const ZoneBallot& zone) { return zone.count(VoterState::kCommitted) >= zone.needed; });
 }
 
 bool Ballot::grantImpossible() const {
   return !majorityOf([](const ZoneBallot& zone) {
-    return zone.voters.size() - zone.count(VoterStep::kRefused) >= zone.needed;
+    return zone.voters.size() - zone.count(VoterState::kRefused) >= zone.needed;
   });
 }
 
 bool Ballot::commitImpossible() const {
   return !majorityOf([](const ZoneBallot& zone) {
-    const std::size_t lost = zone.count(VoterStep::kRefused) + zone.count(VoterStep::kLeaseLost);
+    const std::size_t lost = zone.count(VoterState::kRefused) + zone.count(VoterState::kLeaseLost);
     return zone.voters.size() - lost >= zone.needed;
   });
 }
 
-std::vector<NodeId> Ballot::votersAt(VoterStep step) const {
+std::vector<NodeId> Ballot::votersInState(VoterState state) const {
   std::vector<NodeId> voters;
   for (const ZoneBallot& zone : zones_) {
-    for (const auto& [id, voter_step] : zone.voters) {
-      if (voter_step == step) {
+    for (const auto& [id, voter_state] : zone.voters) {
+      if (voter_state == state) {
         voters.push_back(id);
       }
     }
@@ -87,7 +88,7 @@
 std::vector<NodeId> Ballot::allVoters() const {
   std::vector<NodeId> voters;
   for (const ZoneBallot& zone : zones_) {
-    for (const auto& [id, step] : zone.voters) {
+    for (const auto& [id, state] : zone.voters) {
       voters.push_back(id);
     }
   }
--- a/src/distribution/acceptance_attempt.h
+++ b/src/distribution/acceptance_attempt.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One confirmation under way at its coordinator: which voters of which zones granted, refused or
-/// committed. Internal to AcceptanceCoordinator.
+/// Tracks the state of every voter of one confirmation in progress: granted, refused or committed.
+/// Internal to AcceptanceCoordinator.
 
 #include <algorithm>
 #include <cstddef>
@@ -14,54 +14,58 @@
 
 namespace coursepond::distribution {
 
-/// How far one voter came.
-enum class VoterStep {
-  kAsked,      ///< No answer yet, or "not yet".
-  kRefused,    ///< Another lease is live there.
-  kGranted,    ///< Holds the lease.
-  kCommitted,  ///< Took the record under the lease.
-  kLeaseLost,  ///< Granted, but the commit came too late.
+/// State of one voter in the current try.
+enum class VoterState {
+  kAsked,      ///< Has not answered yet, or answered that it does not hold the content yet.
+  kRefused,    ///< Refused because another attempt holds the voter's lease.
+  kGranted,    ///< Granted this attempt the lease.
+  kCommitted,  ///< Stored the record under the lease.
+  kLeaseLost,  ///< Granted the lease, but it was lost before the commit arrived.
 };
 
-/// The voters of one reachable zone. The zone grants, or holds the record, when `needed` of its
-/// voters do: a majority of them, so that two confirmations always share a voter.
+/// The voters of one reachable zone. The zone counts as granted or committed once `needed` of its
+/// voters are. `needed` is at least a majority, so that any two confirmations share a voter.
 struct ZoneBallot {
-  std::map<NodeId, VoterStep> voters;
+  std::map<NodeId, VoterState> voters;
   std::size_t needed = 0;
 
-  std::size_t count(VoterStep step) const {
-    return static_cast<std::size_t>(std::count_if(
-        voters.begin(), voters.end(), [step](const auto& voter) { return voter.second == step; }));
+  std::size_t count(VoterState state) const {
+    return static_cast<std::size_t>(
+        std::count_if(voters.begin(), voters.end(),
+                      [state](const auto& voter) { return voter.second == state; }));
+  }
+  std::size_t granted() const {
+    return count(VoterState::kGranted) + count(VoterState::kCommitted);
   }
-  std::size_t granted() const { return count(VoterStep::kGranted) + count(VoterStep::kCommitted); }
 };
 
-/// All zones of a confirmation. Zones that cannot be reached count towards the majority only.
+/// The voters of all zones. Unreachable zones count in the total from which the majority is
+/// computed, but cannot grant.
 class Ballot {
  public:
   explicit Ballot(const membership::View& view);
 
   std::size_t majority() const { return majority_; }
   std::size_t zoneCount() const { return zone_count_; }
-  /// Zones that could grant: reachable, and with enough voters known.
+  /// Number of zones that can grant: they are reachable and enough of their voters are known.
   std::size_t usableZones() const { return zones_.size(); }
-  /// Whether enough zones are reachable to try at all.
+  /// Returns whether enough zones can grant for a confirmation to succeed.
   bool canSucceed() const { return zones_.size() >= majority_; }
 
-  /// The voter's step, or nothing when it was not asked.
-  VoterStep* find(const NodeId& voter);
-  /// All voters back to kAsked, for the next try.
+  /// Returns the voter's state, or nullptr if it takes no part in this confirmation.
+  VoterState* find(const NodeId& voter);
+  /// Resets all voters to kAsked for the next try.
   void restart();
 
   bool granted() const;
   bool committed() const;
-  /// Too many voters refused for `granted` ever to become true.
+  /// Returns whether so many voters refused that granted() cannot become true in this try.
   bool grantImpossible() const;
-  /// Too many voters lost the lease for `committed` ever to become true.
+  /// Returns whether so many voters refused or lost the lease that committed() cannot become true.
   bool commitImpossible() const;
 
-  /// The voters at `step`.
-  std::vector<NodeId> votersAt(VoterStep step) const;
+  /// Returns all voters in the given state.
+  std::vector<NodeId> votersInState(VoterState state) const;
   std::vector<NodeId> allVoters() const;
 
  private:
--- a/src/distribution/acceptance_coordinator.cpp
+++ b/src/distribution/acceptance_coordinator.cpp
@@ -8,7 +8,9 @@
 namespace coursepond::distribution {
 namespace {
 
-/// Plans with an unknown outcome that are remembered, so that no later refusal contradicts them.
+/// Number of plans with an unknown outcome that are remembered. While a plan is remembered, a
+/// later confirmation of it is answered with kOutcomeUnknown instead of a refusal that could turn
+/// out to be wrong.
 constexpr std::size_t kRememberedPlans = 64;
 
 std::string text(Version version) { return std::to_string(version.value()); }
@@ -35,7 +37,8 @@
 Error conflict(const PlanId& holder) {
   const std::string other = holder.empty() ? "another plan" : "plan " + holder.value();
   return Error{ErrorKind::kConflict, other + " is being confirmed; nothing was changed",
-               "wait a few seconds, read GET /v1/status, and plan again if the base has moved"};
+               "wait a few seconds, read GET /v1/status, and make a new plan if the accepted "
+               "version has changed"};
 }
 
 Error noQuorum(const Ballot& ballot, std::string_view why) {
@@ -47,10 +50,9 @@
 }
 
 Error pausedTooLong() {
-  return Error{
-      ErrorKind::kUnavailable,
-      "this node was paused or too slow between asking and committing; nothing was changed",
-      "confirm the plan again"};
+  return Error{ErrorKind::kUnavailable,
+               "this node was paused or too slow between prepare and commit; nothing was changed",
+               "confirm the plan again"};
 }
 
 Error digestMismatch(const AcceptanceRecord& proposed) {
@@ -69,7 +71,8 @@
 
 }  // namespace
 
-/// The state of one confirmation. It outlives neither its coordinator nor its outcome.
+/// The state of one confirmation. It is destroyed with its coordinator or as soon as its outcome is
+/// known.
 class AcceptanceCoordinator::Attempt {
  public:
   enum class Phase { kPreparing, kWaitingToRetry, kCommitting };
@@ -92,7 +95,8 @@
   void addCallback(ConfirmCallback callback) { callbacks_.push_back(std::move(callback)); }
   std::vector<ConfirmCallback> takeCallbacks() { return std::move(callbacks_); }
 
-  /// The functions below may end the attempt, which destroys it: nothing may follow such a call.
+  /// The functions below may finish the attempt, which destroys this object. The caller must not
+  /// use it afterwards.
   void start();
   void onGranted(const NodeId& from, const Granted& granted);
   void onRefused(const NodeId& from, const Refused& refused);
@@ -105,8 +109,8 @@
   void sendPrepares();
   void scheduleResend();
   void resend();
-  void onPrepareRefused(VoterStep& step, const Refused& refused);
-  void onTryLost();
+  void onPrepareRefused(VoterState& state, const Refused& refused);
+  void onTryFailed();
   void onPrepareDeadline();
   void commit();
   void sendCommit(const NodeId& voter);
@@ -126,7 +130,7 @@
   std::uint32_t tries_ = 0;
   PlanId conflicting_plan_;
   bool content_missing_ = false;
-  bool proposed_seen_ = false;  ///< Some voter already holds the proposed record.
+  bool proposed_seen_ = false;  ///< A voter already stores the proposed record.
   TimerId deadline_timer_ = 0;
   TimerId step_timer_ = 0;
 };
@@ -149,7 +153,7 @@
 
 void AcceptanceCoordinator::Attempt::sendPrepares() {
   const Prepare prepare{key_, plan_, proposed_, owner_.holder_.record(), owner_.settings_.lease};
-  for (const NodeId& voter : ballot_.votersAt(VoterStep::kAsked)) {
+  for (const NodeId& voter : ballot_.votersInState(VoterState::kAsked)) {
     owner_.sender_.send(voter, prepare);
   }
 }
@@ -163,7 +167,7 @@
   if (phase_ == Phase::kPreparing) {
     sendPrepares();
   } else {
-    for (const NodeId& voter : ballot_.votersAt(VoterStep::kGranted)) {
+    for (const NodeId& voter : ballot_.votersInState(VoterState::kGranted)) {
       sendCommit(voter);
     }
   }
@@ -171,11 +175,11 @@
 }
 
 void AcceptanceCoordinator::Attempt::onGranted(const NodeId& from, const Granted& granted) {
-  VoterStep* step = ballot_.find(from);
-  if (!current(granted.attempt) || step == nullptr || *step != VoterStep::kAsked) {
+  VoterState* state = ballot_.find(from);
+  if (!current(granted.attempt) || state == nullptr || *state != VoterState::kAsked) {
     return;
   }
-  *step = VoterStep::kGranted;
+  *state = VoterState::kGranted;
   proposed_seen_ = proposed_seen_ || granted.record == proposed_;
   if (committing()) {
     sendCommit(from);
@@ -185,24 +189,24 @@
 }
 
 void AcceptanceCoordinator::Attempt::onRefused(const NodeId& from, const Refused& refused) {
-  VoterStep* step = ballot_.find(from);
-  if (!current(refused.attempt) || step == nullptr) {
+  VoterState* state = ballot_.find(from);
+  if (!current(refused.attempt) || state == nullptr) {
     return;
   }
   if (!committing()) {
-    onPrepareRefused(*step, refused);
+    onPrepareRefused(*state, refused);
     return;
   }
-  if (*step == VoterStep::kCommitted) {
+  if (*state == VoterState::kCommitted) {
     return;
   }
-  *step = *step == VoterStep::kGranted ? VoterStep::kLeaseLost : VoterStep::kRefused;
+  *state = *state == VoterState::kGranted ? VoterState::kLeaseLost : VoterState::kRefused;
   if (ballot_.commitImpossible()) {
     owner_.finish(outcomeUnknown(plan_, "too many zones did not take the commit in time"));
   }
 }
 
-void AcceptanceCoordinator::Attempt::onPrepareRefused(VoterStep& step, const Refused& refused) {
+void AcceptanceCoordinator::Attempt::onPrepareRefused(VoterState& state, const Refused& refused) {
   if (refused.kind == ErrorKind::kBaseMismatch) {
     owner_.holder_.offer(refused.record);
     refuse(staleError(proposed_, refused.record));
@@ -213,17 +217,17 @@
     return;
   }
   if (refused.kind != ErrorKind::kConflict) {
-    content_missing_ = true;  // Asked again by the resend timer.
+    content_missing_ = true;  // The resend timer sends the prepare again.
     return;
   }
-  step = VoterStep::kRefused;
+  state = VoterState::kRefused;
   conflicting_plan_ = refused.holder;
   if (ballot_.grantImpossible()) {
-    onTryLost();
+    onTryFailed();
   }
 }
 
-void AcceptanceCoordinator::Attempt::onTryLost() {
+void AcceptanceCoordinator::Attempt::onTryFailed() {
   release();
   if (tries_ >= owner_.settings_.conflict_tries) {
     refuse(lastConflict());
@@ -262,7 +266,7 @@
   owner_.environment_.cancel(deadline_timer_);
   deadline_timer_ =
       owner_.environment_.schedule(owner_.settings_.commit_timeout, [this] { onCommitDeadline(); });
-  for (const NodeId& voter : ballot_.votersAt(VoterStep::kGranted)) {
+  for (const NodeId& voter : ballot_.votersInState(VoterState::kGranted)) {
     sendCommit(voter);
   }
   owner_.holder_.offer(proposed_);
@@ -273,11 +277,11 @@
 }
 
 void AcceptanceCoordinator::Attempt::onCommitted(const NodeId& from, const Committed& committed) {
-  VoterStep* step = ballot_.find(from);
-  if (!current(committed.attempt) || step == nullptr || !committing()) {
+  VoterState* state = ballot_.find(from);
+  if (!current(committed.attempt) || state == nullptr || !committing()) {
     return;
   }
-  *step = VoterStep::kCommitted;
+  *state = VoterState::kCommitted;
   if (ballot_.committed()) {
     owner_.finish(proposed_);
   }
@@ -298,7 +302,7 @@
   if (proposed_seen_ || conflicting_plan_ == plan_) {
     error = outcomeUnknown(plan_, "it is being confirmed through another node");
   }
-  owner_.finish(owner_.truthfulRefusal(plan_, proposed_, std::move(error)));
+  owner_.finish(owner_.refusalOrUnknown(plan_, proposed_, std::move(error)));
 }
 
 void AcceptanceCoordinator::Attempt::release() {
@@ -327,18 +331,18 @@
     if (attempt_->plan() == plan && attempt_->proposed() == proposed) {
       attempt_->addCallback(std::move(callback));
     } else {
-      callback(truthfulRefusal(plan, proposed, conflict(attempt_->plan())));
+      callback(refusalOrUnknown(plan, proposed, conflict(attempt_->plan())));
     }
     return;
   }
   if (const auto error = refusalBeforeStart(proposed)) {
-    callback(truthfulRefusal(plan, proposed, *error));
+    callback(refusalOrUnknown(plan, proposed, *error));
     return;
   }
   auto attempt = std::make_unique<Attempt>(*this, plan, proposed, view);
   if (!attempt->ballot().canSucceed()) {
     const Error error = noQuorum(attempt->ballot(), "too many zones cannot be reached");
-    callback(truthfulRefusal(plan, proposed, error));
+    callback(refusalOrUnknown(plan, proposed, error));
     return;
   }
   attempt_ = std::move(attempt);
@@ -358,8 +362,8 @@
   return std::nullopt;
 }
 
-Error AcceptanceCoordinator::truthfulRefusal(const PlanId& plan, const AcceptanceRecord& proposed,
-                                             Error error) const {
+Error AcceptanceCoordinator::refusalOrUnknown(const PlanId& plan, const AcceptanceRecord& proposed,
+                                              Error error) const {
   const bool unresolved =
       std::find(unresolved_.begin(), unresolved_.end(), plan) != unresolved_.end();
   if (unresolved || holder_.record() == proposed) {
--- a/src/distribution/acceptance_messages.cpp
+++ b/src/distribution/acceptance_messages.cpp
@@ -16,9 +16,9 @@
 
 using Json = nlohmann::json;
 
-/// Longest plan id and node id taken from the wire, in bytes.
+/// Maximum length of a received plan id or node id, in bytes.
 constexpr std::size_t kNameLimit = 256;
-/// Longest encoded message taken from the wire, in bytes.
+/// Maximum length of a received encoded message, in bytes.
 constexpr std::size_t kMessageLimit = 4096;
 
 constexpr std::array<std::string_view, std::variant_size_v<AcceptanceMessage>> kNames = {
--- a/src/distribution/acceptance_record.h
+++ b/src/distribution/acceptance_record.h
@@ -5,9 +5,10 @@
 
 namespace coursepond::distribution {
 
-/// The one thing the mesh shares: which version is accepted. Records are ordered by version and
-/// merged by maximum, so whatever arrives late, crossed, doubled or from a paused process, the
-/// record of a node only goes forward. Relied on by every "never goes back" promise.
+/// The state that all nodes of the mesh agree on: which version is accepted. Records are ordered by
+/// version and a node keeps the greatest one it has seen. Its record therefore never regresses,
+/// even if messages arrive late, reordered, duplicated or from a process that was paused. Every
+/// guarantee that a node never returns to an older version relies on this.
 struct AcceptanceRecord {
   Version version;
   Digest digest;  ///< model::contentDigest of the version's configuration.
--- a/src/distribution/acceptance_voter.cpp
+++ b/src/distribution/acceptance_voter.cpp
@@ -6,10 +6,10 @@
 namespace coursepond::distribution {
 namespace {
 
-/// Attempts remembered in order to recognise repeated and late messages.
+/// Number of attempts remembered to recognise retransmitted and late messages.
 constexpr std::size_t kRememberedAttempts = 16;
-/// The longest lease a voter gives, whatever the coordinator's settings say.
-constexpr Duration kLongestLease = std::chrono::seconds(10);
+/// Upper bound for the lease a voter grants, regardless of the coordinator's settings.
+constexpr Duration kMaxLease = std::chrono::seconds(10);
 
 void remember(std::deque<AttemptKey>& attempts, const AttemptKey& attempt) {
   attempts.push_back(attempt);
@@ -54,7 +54,7 @@
     sender_.send(from, *refusal);
     return;
   }
-  const Duration length = std::min(prepare.lease, kLongestLease);
+  const Duration length = std::min(prepare.lease, kMaxLease);
   lease_ = Lease{prepare.attempt, prepare, environment_.now() + length};
   sender_.send(from, Granted{prepare.attempt, holder_.record()});
 }
@@ -69,7 +69,7 @@
       return makeRefusal(prepare.attempt, ErrorKind::kDigestMismatch);
     }
   }
-  if (leaseLive() && !mayReplaceLease(prepare.attempt)) {
+  if (hasActiveLease() && !mayReplaceLease(prepare.attempt)) {
     return makeRefusal(prepare.attempt, ErrorKind::kConflict);
   }
   if (!may_grant_(prepare.proposed)) {
@@ -83,7 +83,8 @@
     sender_.send(from, Committed{commit.attempt});
     return;
   }
-  if (!holdsLease(commit.attempt) || !leaseLive() || !(lease_->prepare.proposed == commit.record)) {
+  if (!holdsLease(commit.attempt) || !hasActiveLease() ||
+      !(lease_->prepare.proposed == commit.record)) {
     sender_.send(from, makeRefusal(commit.attempt, ErrorKind::kConflict));
     return;
   }
@@ -114,7 +115,7 @@
          lease_->attempt.number <= attempt.number;
 }
 
-bool AcceptanceVoter::leaseLive() const {
+bool AcceptanceVoter::hasActiveLease() const {
   return lease_.has_value() && environment_.now() < lease_->expires;
 }
 
@@ -122,7 +123,7 @@
   Refused refusal;
   refusal.attempt = attempt;
   refusal.kind = kind;
-  refusal.holder = leaseLive() ? lease_->prepare.plan : PlanId();
+  refusal.holder = hasActiveLease() ? lease_->prepare.plan : PlanId();
   refusal.record = holder_.record();
   return refusal;
 }
--- a/src/distribution/cbor_array_reader.h
+++ b/src/distribution/cbor_array_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Reads the fields of a message that is a CBOR array, in their order.
+/// Reads the fields of a message that is encoded as a CBOR array, in order.
 
 #include <cstdint>
 #include <nlohmann/json_fwd.hpp>
@@ -10,8 +10,8 @@
 
 namespace coursepond::distribution {
 
-/// After the first field of the wrong type every further one reads as empty, and `finished` stays
-/// false: a decoder reads everything and checks once.
+/// A missing field or one of the wrong type reads as an empty value and makes finished() return
+/// false. A decoder can thus read all fields and check for errors once at the end.
 class CborArrayReader {
  public:
   /// `array` must be an array and outlive this.
@@ -21,14 +21,14 @@
   std::uint64_t numberUpTo(std::uint64_t largest);
   bool flag();
   std::string text(std::size_t longest);
-  /// 32 bytes, or null for the empty digest.
+  /// Reads 32 bytes, or null for the empty digest.
   Digest digest();
-  /// A nested array of at most `longest` elements; an empty one on a mistake.
+  /// Reads a nested array of at most `longest` elements. Returns an empty array on an error.
   const nlohmann::json& array(std::size_t longest);
 
-  /// A nested reader found a mistake.
+  /// Marks the message as invalid, for example because a nested reader found an error.
   void fail() { failed_ = true; }
-  /// Every field was read, and none was wrong.
+  /// Returns whether every field was read and all were valid.
   bool finished() const;
 
  private:
--- a/src/distribution/codec.cpp
+++ b/src/distribution/codec.cpp
@@ -1,4 +1,4 @@
-// Every message is a CBOR array: its kind, then its fields in the order of the struct.
+// Every message is a CBOR array: the message kind, followed by the fields in struct order.
 
 #include <cstddef>
 #include <exception>
@@ -19,7 +19,7 @@
     "run the same coursepond release on every node; if they are the same, something else writes "
     "to the peer port";
 
-// ---- Writing: one overload of `write` per type. ----
+// ---- Encoding: one overload of `write` per type. ----
 
 Json write(std::uint64_t value) { return value; }
 Json write(bool value) { return value; }
@@ -46,7 +46,7 @@
 
 Json write(const Digest& digest) { return writeBytes(digest.bytes()); }
 
-// Declared ahead, since the templates below must see every overload they use.
+// Forward declarations: the templates below must see every overload they use.
 Json write(const ContentId& id);
 Json write(const ShortContentId& id);
 Json write(const EndpointKey& key);
@@ -143,22 +143,22 @@
 
 Json write(const EndpointFetch& fetch) { return writeFields(fetch.keys); }
 
-// ---- Reading ----
+// ---- Decoding ----
 
-/// Thrown inside this file only; decodeMessage turns it into an Error.
+/// Thrown only inside this file; decodeMessage converts it into an Error.
 struct DecodeFailure : std::exception {
   explicit DecodeFailure(ErrorKind failure_kind = ErrorKind::kMalformed) : kind(failure_kind) {}
   ErrorKind kind;
 };
 
-/// Takes the elements of one array in order, each with the type it must have.
+/// Reads the elements of one array in order and checks the type of each.
 class FieldReader {
  public:
   explicit FieldReader(const Json& array) : array_(array) {
     if (!array.is_array()) throw DecodeFailure();
   }
 
-  /// Call after the last field: refuses elements left over.
+  /// Must be called after the last field. Throws if elements are left.
   void finish() const {
     if (next_ != array_.size()) throw DecodeFailure();
   }
@@ -211,7 +211,7 @@
     return static_cast<Enumeration>(number(static_cast<std::uint64_t>(last)));
   }
 
-  /// A nested array, read as a whole by `read`.
+  /// Reads a nested array with `read`, which must consume all of its elements.
   template <typename Read>
   auto nested(Read read) {
     FieldReader reader(take());
@@ -220,7 +220,7 @@
     return value;
   }
 
-  /// A list of nested arrays or names.
+  /// Reads a list of nested arrays or names.
   template <typename Read>
   auto list(Read read) {
     const Json& array = take();
@@ -328,7 +328,7 @@
   });
 }
 
-// One overload of `read` per message, in the order of the variant.
+// One overload of `read` per message type, in the order of the variant.
 
 void read(FieldReader& fields, Summary& summary) {
   summary.accepted = fields.counter<Version>();
@@ -408,7 +408,7 @@
 
 void read(FieldReader& fields, EndpointFetch& fetch) { fetch.keys = fields.list(readEndpointKey); }
 
-/// Reads the message whose kind is its index in the variant.
+/// Reads a message. `kind` is the index of its type in the variant.
 template <std::size_t kIndex = 0>
 Message readKind(std::uint64_t kind, FieldReader& fields) {
   if constexpr (kIndex == std::variant_size_v<Message>) {
@@ -423,8 +423,9 @@
 }
 
 Error decodeError(ErrorKind kind) {
-  const char* text = kind == ErrorKind::kTooLarge ? "a distribution message is over a size limit"
-                                                  : "bytes are not a distribution message";
+  const char* text = kind == ErrorKind::kTooLarge
+                         ? "a distribution message exceeds a size limit"
+                         : "the bytes are not a valid distribution message";
   return Error{kind, text, kRemedy};
 }
 
--- a/src/distribution/cold_start.cpp
+++ b/src/distribution/cold_start.cpp
@@ -5,7 +5,7 @@
 namespace coursepond::distribution {
 namespace {
 
-/// Answers from the own zone that are enough (all members when there are fewer).
+/// Number of answers required from the node's own zone; in a smaller zone, all other members.
 constexpr std::size_t kOwnZoneAnswers = 3;
 
 }  // namespace
@@ -20,40 +20,40 @@
 }
 
 void ColdStart::onRecord(TimePoint now) {
-  if (!record_since_) record_since_ = now;
+  if (!record_learned_at_) record_learned_at_ = now;
 }
 
 void ColdStart::onPause(TimePoint now) {
   if (settled_) return;
   waiting_since_ = now;
   answered_.clear();
-  if (record_since_) record_since_ = now;
+  if (record_learned_at_) record_learned_at_ = now;
 }
 
 bool ColdStart::settled(TimePoint now) {
-  if (settled_ || !record_since_) return settled_;
-  settled_ = heardEnough() || now - *record_since_ >= settings_.cold_settle_limit;
+  if (settled_ || !record_learned_at_) return settled_;
+  settled_ = hasEnoughAnswers() || now - *record_learned_at_ >= settings_.cold_settle_limit;
   if (settled_) answered_.clear();
   return settled_;
 }
 
 bool ColdStart::adoptionDue(TimePoint now) const {
-  if (settled_ || record_since_ || !everyReachableZoneAnswered()) return false;
+  if (settled_ || record_learned_at_ || !everyReachableZoneAnswered()) return false;
   const Duration wait =
       everyZoneReachable() ? settings_.adoption_wait : settings_.adoption_wait_cut_off;
   return now - waiting_since_ >= wait;
 }
 
-bool ColdStart::heardEnough() const {
-  const std::size_t own_needed = std::min(kOwnZoneAnswers, peers_.otherOwnMembers());
-  return answersOf(peers_.view().own_zone) >= own_needed && everyReachableZoneAnswered();
+bool ColdStart::hasEnoughAnswers() const {
+  const std::size_t own_zone_needed = std::min(kOwnZoneAnswers, peers_.otherLocalMemberCount());
+  return answerCount(peers_.view().own_zone) >= own_zone_needed && everyReachableZoneAnswered();
 }
 
 bool ColdStart::everyReachableZoneAnswered() const {
   for (const auto& [id, zone] : peers_.view().zones) {
     const bool own = id == peers_.view().own_zone;
-    const bool has_others = own ? peers_.otherOwnMembers() > 0 : !zone.members.empty();
-    if ((own || zone.reachable) && has_others && answersOf(id) == 0) return false;
+    const bool has_others = own ? peers_.otherLocalMemberCount() > 0 : !zone.members.empty();
+    if ((own || zone.reachable) && has_others && answerCount(id) == 0) return false;
   }
   return true;
 }
@@ -67,7 +67,7 @@
          });
 }
 
-std::size_t ColdStart::answersOf(const ZoneId& zone) const {
+std::size_t ColdStart::answerCount(const ZoneId& zone) const {
   return static_cast<std::size_t>(
       std::count_if(answered_.begin(), answered_.end(),
                     [&](const NodeId& node) { return peers_.zoneOf(node) == zone; }));
--- a/src/distribution/cold_start.h
+++ b/src/distribution/cold_start.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a node without memory must learn before it puts a configuration in force.
-/// See docs/design/COLD-START.md.
+/// Decides when a node that has started without any state has learned enough from its peers to put
+/// a configuration in force. See docs/design/COLD-START.md.
 
 #include <cstddef>
 #include <optional>
@@ -14,38 +14,41 @@
 
 namespace coursepond::distribution {
 
-/// A witness is a node that knows an acceptance record. A cold node listens to several peers of its
-/// own zone and one of each other reachable zone, so that a witness that lags cannot take it back
-/// to a version older than the one it held in an earlier life. Without any witness, the newest
-/// published version may be adopted after a wait.
+/// A witness is a node that knows an acceptance record. A cold node waits for answers from several
+/// peers of its own zone and one peer of each other reachable zone. A single witness with a stale
+/// record therefore cannot make it apply a version older than the one it had in force before its
+/// restart. If there is no witness, the newest published version may be adopted after a wait.
 class ColdStart {
  public:
   ColdStart(const Settings& settings, const Peers& peers, TimePoint now);
 
-  /// A peer answered a summary that wanted an answer.
+  /// Called when a peer answers a summary. `witness`: the peer knows an acceptance record.
   void onAnswer(const NodeId& from, bool witness, TimePoint now);
-  /// An acceptance record was learned in any way.
+  /// Called when this node learns an acceptance record in any way.
   void onRecord(TimePoint now);
-  /// The process was paused: what was not heard meanwhile proves nothing.
+  /// Called when the process has been paused. Restarts the waits and discards the answers, because
+  /// messages that did not arrive during the pause say nothing about the peers.
   void onPause(TimePoint now);
 
-  /// Enough was heard, or waited for, that the record known now may be put in force. Stays true.
+  /// Returns whether enough peers have answered, or enough time has passed, for the record known
+  /// now to be put in force. Once true, stays true.
   bool settled(TimePoint now);
 
-  /// No witness was heard of for long enough, though every reachable zone answered.
+  /// Returns whether every reachable zone has answered and no witness has been found for long
+  /// enough to adopt the newest published version.
   bool adoptionDue(TimePoint now) const;
 
  private:
-  bool heardEnough() const;
+  bool hasEnoughAnswers() const;
   bool everyReachableZoneAnswered() const;
   bool everyZoneReachable() const;
-  std::size_t answersOf(const ZoneId& zone) const;
+  std::size_t answerCount(const ZoneId& zone) const;
 
   const Settings& settings_;
   const Peers& peers_;
   TimePoint waiting_since_;
   std::set<NodeId> answered_;
-  std::optional<TimePoint> record_since_;
+  std::optional<TimePoint> record_learned_at_;
   bool settled_ = false;
 };
 
--- a/src/distribution/compression.h
+++ b/src/distribution/compression.h
@@ -8,18 +8,18 @@
 
 namespace coursepond::distribution {
 
-/// `text` compressed with zstd.
+/// Compresses `text` with zstd.
 std::string compressText(std::string_view text);
 
-/// What compressText was given. kTooLarge when that is over `limit` bytes (nothing near it is
-/// allocated), kMalformed when the bytes are not a compressed text.
+/// Reverses compressText. Returns kTooLarge if the result would exceed `limit` bytes (checked
+/// before memory for it is allocated), and kMalformed if the bytes are not compressed text.
 Result<std::string> decompressText(std::string_view compressed, std::size_t limit);
 
-/// `text` compressed against `base`: as small as their difference.
+/// Compresses `text` with `base` as dictionary. The result is about as small as their difference.
 std::string compressPatch(std::string_view base, std::string_view text);
 
-/// What compressPatch was given, from the very same base; errors as of decompressText. With
-/// another base the outcome is another text or kMalformed: check its digest.
+/// Reverses compressPatch, given the same base; fails like decompressText. With a different base
+/// the result is a different text or kMalformed, so the caller must check the digest.
 Result<std::string> decompressPatch(std::string_view base, std::string_view patch,
                                     std::size_t limit);
 
--- a/src/distribution/content_replication.cpp
+++ b/src/distribution/content_replication.cpp
@@ -6,7 +6,7 @@
 namespace coursepond::distribution {
 namespace {
 
-/// Secret values asked for at once; the rest follows.
+/// Maximum number of secret values requested in one message; further ones are requested afterwards.
 constexpr std::size_t kSecretsPerFetch = 500;
 
 }  // namespace
@@ -32,9 +32,9 @@
   const std::size_t new_secrets = secrets_.add(document.configuration, document.secret_values);
   if (was_held && new_secrets == 0) return;
 
-  spreading_[content] = Spreading();
-  if (holding_) {
-    spreading_[content].add(Spread::kZone);
+  pending_spread_[content] = PendingSpread();
+  if (spreading_paused_) {
+    pending_spread_[content].add(Spread::kZone);
   } else {
     announce(content, peers_.originTargets());
   }
@@ -58,10 +58,11 @@
   const ContentId& content = announcement.content;
   if (obsolete(content)) return;
   wantFrom(from, content);
-  if (!complete(content) && !fetcher_.fetching(content)) return;  // older than all that is wanted
+  // The content is not fetched because it is older than all contents being fetched.
+  if (!complete(content) && !fetcher_.fetching(content)) return;
   if (announcement.spread == Spread::kDirect) return;
 
-  if (spreading_[content].add(announcement.spread) && complete(content)) spread(content);
+  if (pending_spread_[content].add(announcement.spread) && complete(content)) spread(content);
 }
 
 void ContentReplication::onFetch(const NodeId& from, const ContentFetch& fetch) {
@@ -73,7 +74,7 @@
   if (!content || contents_.holds(*content)) return;
   const Result<ConfigurationPointer> added = contents_.addDelta(*content, delta);
   if (added) ++statistics_.deltas_applied;
-  take(from, *content, added);
+  onContentAdded(from, *content, added);
 }
 
 void ContentReplication::onFull(const NodeId& from, const ContentFull& full) {
@@ -81,7 +82,7 @@
   if (!content || contents_.holds(*content)) return;
   const Result<ConfigurationPointer> added = contents_.addFull(*content, full);
   if (added) ++statistics_.full_contents_received;
-  take(from, *content, added);
+  onContentAdded(from, *content, added);
 }
 
 void ContentReplication::onRefusal(const NodeId& from, const ContentRefusal& refusal) {
@@ -90,7 +91,7 @@
 
 void ContentReplication::onSecretFetch(const NodeId& from, const SecretFetch& fetch) {
   const std::optional<ContentId> content = contents_.idOf(fetch.content);
-  // The zone is the one the membership gives the node, never one that the node claims.
+  // The zone is taken from the membership view, never from what the node itself claims.
   const std::optional<ZoneId> zone = peers_.zoneOf(from);
   if (!zone) ++statistics_.secrets_refused;
   if (!content || !zone) {
@@ -118,11 +119,11 @@
   for (const ContentId& content : fetcher_.wanted()) fetcher_.addSource(content, peer);
 }
 
-void ContentReplication::holdSpreading(bool hold) {
-  holding_ = hold;
-  if (hold) return;
+void ContentReplication::setSpreadingPaused(bool paused) {
+  spreading_paused_ = paused;
+  if (paused) return;
   std::vector<ContentId> waiting;
-  for (const auto& [content, spreading] : spreading_) waiting.push_back(content);
+  for (const auto& [content, pending] : pending_spread_) waiting.push_back(content);
   for (const ContentId& content : waiting) {
     if (complete(content)) spread(content);
   }
@@ -138,7 +139,7 @@
   }
   contents_.prune(settings_.contents_kept, {accepted, in_force});
   std::erase_if(complete_, [this](const ContentId& content) { return !contents_.holds(content); });
-  std::erase_if(spreading_, [this](const auto& entry) {
+  std::erase_if(pending_spread_, [this](const auto& entry) {
     return !contents_.holds(entry.first) && !fetcher_.fetching(entry.first);
   });
   std::vector<ConfigurationPointer> held;
@@ -169,7 +170,7 @@
 void ContentReplication::sendRequest(const NodeId& to, const ContentId& content) {
   const ConfigurationPointer configuration = contents_.find(content);
   if (!configuration) {
-    sender_.send(to, ContentFetch{shortened(content), heldBases()});
+    sender_.send(to, ContentFetch{shortened(content), deltaBases()});
     return;
   }
   std::vector<SecretName> names = secrets_.missing(*configuration, zone_);
@@ -177,7 +178,7 @@
   sender_.send(to, SecretFetch{shortened(content), std::move(names)});
 }
 
-std::vector<ShortContentId> ContentReplication::heldBases() const {
+std::vector<ShortContentId> ContentReplication::deltaBases() const {
   std::vector<ShortContentId> bases;
   if (contents_.holds(in_force_)) bases.push_back(shortened(in_force_));
   const std::vector<ContentId> ids = contents_.ids();
@@ -192,8 +193,8 @@
   return std::nullopt;
 }
 
-void ContentReplication::take(const NodeId& from, const ContentId& content,
-                              const Result<ConfigurationPointer>& added) {
+void ContentReplication::onContentAdded(const NodeId& from, const ContentId& content,
+                                        const Result<ConfigurationPointer>& added) {
   if (!added) {
     observer_.onContentRejected(added.error());
     fetcher_.onRefused(from, content);
@@ -204,16 +205,16 @@
 }
 
 void ContentReplication::continueFetch(const NodeId& from, const ContentId& content) {
-  if (!complete(content)) return fetcher_.askAgain(from, content);
+  if (!complete(content)) return fetcher_.requestMore(from, content);
   fetcher_.forget(content);
   spread(content);
   observer_.onContentComplete(content);
 }
 
 void ContentReplication::spread(const ContentId& content) {
-  if (holding_) return;
-  const auto found = spreading_.find(content);
-  if (found == spreading_.end()) return;
+  if (spreading_paused_) return;
+  const auto found = pending_spread_.find(content);
+  if (found == pending_spread_.end()) return;
   std::vector<Spread> due;
   std::swap(due, found->second.due);
   for (const Spread way : due) announce(content, peers_.targets(way));
--- a/src/distribution/content_replication.h
+++ b/src/distribution/content_replication.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How content and the secret values it needs come to this node and go on from it.
+/// Receives configuration content and the secret values it needs, and forwards them to other nodes.
 
 #include <map>
 #include <optional>
@@ -16,20 +16,21 @@
 
 namespace coursepond::distribution {
 
-/// Told of contents. Calls come from inside ContentReplication's own calls.
+/// Receives notifications about content. Called synchronously from the functions of
+/// ContentReplication.
 class ContentObserver {
  public:
   virtual ~ContentObserver() = default;
-  /// The content and its secret values for this zone are held.
+  /// Called when this node has the content and all secret values that its zone needs.
   virtual void onContentComplete(const ContentId& content) = 0;
-  /// Content from a peer was refused; another peer is asked.
+  /// Called when content from a peer was rejected. Another peer is asked for it.
   virtual void onContentRejected(const Error& error) = 0;
 };
 
 struct ContentStatistics {
   std::uint64_t deltas_applied = 0;
   std::uint64_t full_contents_received = 0;
-  std::uint64_t secrets_refused = 0;  ///< Asked for by a node of unknown zone.
+  std::uint64_t secrets_refused = 0;  ///< Requests from nodes whose zone is not known.
 };
 
 class ContentReplication {
@@ -37,12 +38,12 @@
   ContentReplication(const ZoneId& zone, const Settings& settings, Environment& environment,
                      MessageSender<Message>& sender, const Peers& peers, ContentObserver& observer);
 
-  /// A document read from the platform. Announces it to every zone when it, or any of its secret
-  /// values, is news here.
+  /// Adds a document read from the platform. Announces it to every zone if the content or any of
+  /// its secret values is new to this node.
   void stage(const ContentId& content, const model::ConfigurationDocument& document);
-  /// Fetches the content unless it is complete.
+  /// Starts fetching the content unless it is complete.
   void want(const ContentId& content);
-  /// The same, with a peer that holds it.
+  /// The same, with `peer` as a known source.
   void wantFrom(const NodeId& peer, const ContentId& content);
 
   void onAnnouncement(const NodeId& from, const ContentAnnouncement& announcement);
@@ -52,17 +53,19 @@
   void onRefusal(const NodeId& from, const ContentRefusal& refusal);
   void onSecretFetch(const NodeId& from, const SecretFetch& fetch);
   void onSecretDelivery(const NodeId& from, const SecretDelivery& delivery);
-  /// A peer holds every secret value of its newest content.
+  /// Called when a peer reports that it holds every secret value of its newest content.
   void onSecretHolder(const NodeId& peer);
 
-  /// Passing on waits while `hold` is true (the process was paused and asks first).
-  void holdSpreading(bool hold);
-  /// Drops what neither the accepted record, nor the content in force, nor recent staging needs.
-  /// `all_secrets`: this node keeps the secret values of every zone.
+  /// Suspends or resumes announcements to other nodes. Suspended after a pause of the process until
+  /// a peer has answered.
+  void setSpreadingPaused(bool paused);
+  /// Drops contents and secret values that are needed neither by the accepted record, nor by the
+  /// content in force, nor by recently staged content. `all_secrets`: keep the secret values of
+  /// every zone.
   void prune(const ContentId& accepted, const ContentId& in_force, bool all_secrets);
 
   bool complete(const ContentId& content) const;
-  /// The newest complete content (zero version: none).
+  /// Returns the newest complete content; version zero means none.
   ContentId newestComplete() const;
   bool holdsAllSecretsOf(const ContentId& content) const;
   TimePoint missingSince(const ContentId& content) const { return fetcher_.since(content); }
@@ -74,11 +77,11 @@
 
  private:
   void sendRequest(const NodeId& to, const ContentId& content);
-  std::vector<ShortContentId> heldBases() const;
-  /// The content being fetched of which this is the short id.
+  std::vector<ShortContentId> deltaBases() const;
+  /// Returns the full id of the content being fetched that has this short id.
   std::optional<ContentId> wantedId(const ShortContentId& content) const;
-  void take(const NodeId& from, const ContentId& content,
-            const Result<ConfigurationPointer>& added);
+  void onContentAdded(const NodeId& from, const ContentId& content,
+                      const Result<ConfigurationPointer>& added);
   void continueFetch(const NodeId& from, const ContentId& content);
   void spread(const ContentId& content);
   void announce(const ContentId& content, const std::vector<PushTarget>& targets);
@@ -93,11 +96,12 @@
   SecretStore secrets_;
   ContentServer server_;
   Fetcher fetcher_;
-  std::map<ContentId, Spreading> spreading_;
-  mutable std::set<ContentId> complete_;  ///< Found complete; stays so while held.
+  std::map<ContentId, PendingSpread> pending_spread_;
+  /// Contents known to be complete. They stay complete as long as they are held.
+  mutable std::set<ContentId> complete_;
   ContentId accepted_;
   ContentId in_force_;
-  bool holding_ = false;
+  bool spreading_paused_ = false;
   ContentStatistics statistics_;
 };
 
--- a/src/distribution/content_server.cpp
+++ b/src/distribution/content_server.cpp
@@ -29,7 +29,7 @@
   std::vector<Waiter> waiters;
   std::swap(waiters, waiters_);
   for (Waiter& waiter : waiters) {
-    // One that waited longer has asked another peer since.
+    // A peer that has waited longer has already asked another peer.
     if (environment_.now() - waiter.since > settings_.fetch_timeout) continue;
     if (waiter.fetch.content == shortened(content)) {
       answer(waiter.node, content, waiter.fetch);
@@ -48,19 +48,20 @@
       return;
     }
   }
-  answerWhole(to, content);
+  answerWithFull(to, content);
 }
 
-void ContentServer::answerWhole(const NodeId& to, const ContentId& content) {
-  forgetOldHandouts();
-  const auto handout = handouts_.find(to);
-  if (handout != handouts_.end() && handout->second.content == content) return;  // on its way
+void ContentServer::answerWithFull(const NodeId& to, const ContentId& content) {
+  forgetOldSends();
+  const auto recent = recently_sent_.find(to);
+  // The content was sent recently and is probably still in flight.
+  if (recent != recently_sent_.end() && recent->second.content == content) return;
   if (!takeRateToken()) {
     ++busy_refusals_;
     sender_.send(to, ContentRefusal{shortened(content), RefusalReason::kBusy});
     return;
   }
-  handouts_[to] = {content, environment_.now()};
+  recently_sent_[to] = {content, environment_.now()};
   sender_.send(to, store_.full(content));
 }
 
@@ -68,16 +69,16 @@
   const TimePoint now = environment_.now();
   if (now - rate_window_start_ >= std::chrono::seconds(1)) {
     rate_window_start_ = now;
-    handed_out_in_window_ = 0;
+    sent_in_window_ = 0;
   }
-  if (handed_out_in_window_ >= settings_.full_contents_per_second) return false;
-  ++handed_out_in_window_;
+  if (sent_in_window_ >= settings_.full_contents_per_second) return false;
+  ++sent_in_window_;
   return true;
 }
 
-void ContentServer::forgetOldHandouts() {
+void ContentServer::forgetOldSends() {
   const TimePoint oldest = environment_.now() - settings_.fetch_timeout;
-  std::erase_if(handouts_, [oldest](const auto& entry) { return entry.second.at < oldest; });
+  std::erase_if(recently_sent_, [oldest](const auto& entry) { return entry.second.at < oldest; });
 }
 
 }  // namespace coursepond::distribution
--- a/src/distribution/content_server.h
+++ b/src/distribution/content_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Answers peers that ask for content, within limits.
+/// Answers content requests from peers, subject to a rate limit.
 
 #include <deque>
 #include <map>
@@ -14,16 +14,17 @@
 
 namespace coursepond::distribution {
 
-/// Hands out deltas freely, whole contents at a bounded rate and never twice at once to one peer.
-/// A peer asking for content that is on its way here is answered when it has come.
+/// Sends deltas without a limit. Full contents are rate limited, and the same full content is not
+/// sent again to a peer within one fetch timeout. A peer that asks for content this node is itself
+/// fetching is answered as soon as the content arrives.
 class ContentServer {
  public:
   ContentServer(const Settings& settings, Environment& environment, MessageSender<Message>& sender,
                 ContentStore& store);
 
-  /// `expected`: the content is being fetched here.
+  /// `expected`: this node is fetching the content itself.
   void onFetch(const NodeId& from, const ContentFetch& fetch, bool expected);
-  /// The content is held now: answers those that waited for it.
+  /// Called when the content has become available: answers the peers waiting for it.
   void onAvailable(const ContentId& content);
 
   std::uint64_t busyRefusals() const { return busy_refusals_; }
@@ -34,15 +35,15 @@
     ContentFetch fetch;
     TimePoint since;
   };
-  struct Handout {
+  struct SentContent {
     ContentId content;
     TimePoint at;
   };
 
   void answer(const NodeId& to, const ContentId& content, const ContentFetch& fetch);
-  void answerWhole(const NodeId& to, const ContentId& content);
+  void answerWithFull(const NodeId& to, const ContentId& content);
   bool takeRateToken();
-  void forgetOldHandouts();
+  void forgetOldSends();
 
   static constexpr std::size_t kMaxWaiters = 64;
 
@@ -51,9 +52,10 @@
   MessageSender<Message>& sender_;
   ContentStore& store_;
   std::vector<Waiter> waiters_;
-  std::map<NodeId, Handout> handouts_;  ///< Whole contents lately sent, per peer.
+  /// The last full content sent to each peer within the fetch timeout.
+  std::map<NodeId, SentContent> recently_sent_;
   TimePoint rate_window_start_;
-  std::size_t handed_out_in_window_ = 0;
+  std::size_t sent_in_window_ = 0;
   std::uint64_t busy_refusals_ = 0;
 };
 
--- a/src/distribution/content_store.cpp
+++ b/src/distribution/content_store.cpp
@@ -22,8 +22,8 @@
                                                     const ContentDelta& delta) {
   const std::optional<ContentId> base = idOf(delta.base);
   if (!base) {
-    return Error{ErrorKind::kBaseMismatch, "a delta starts from content that is not held",
-                 "none needed: the whole content is fetched instead"};
+    return Error{ErrorKind::kBaseMismatch, "the base of a delta is not held",
+                 "none needed: the full content is fetched instead"};
   }
   const std::string base_text = model::canonicalText(*find(*base));
   return addText(id, decompressPatch(base_text, delta.compressed, size_limit_));
@@ -87,12 +87,12 @@
 Result<ConfigurationPointer> ContentStore::addText(const ContentId& id,
                                                    const Result<std::string>& text) {
   if (!text) return text.error();
-  // The digest of a content is that of its canonical text.
+  // The digest of content is the digest of its canonical text.
   if (Digest::of(*text) != id.digest) {
     return Error{
         ErrorKind::kDigestMismatch,
-        "content of version " + std::to_string(id.version.value()) + " differs from its digest",
-        "none needed: another peer is asked; if it repeats, replace the peer"};
+        "content of version " + std::to_string(id.version.value()) + " does not match its digest",
+        "none needed: another peer is asked; if the error persists, replace the peer"};
   }
   Result<model::Configuration> configuration = model::parseCanonical(id.version, *text);
   if (!configuration) return configuration.error();
--- a/src/distribution/content_store.h
+++ b/src/distribution/content_store.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The few configurations a node holds whole, and their encoded forms for peers.
+/// Stores the few full configurations a node holds, and caches their encoded forms for peers.
 
 #include <cstddef>
 #include <map>
@@ -19,41 +19,44 @@
 
 class ContentStore {
  public:
-  /// `size_limit`: of one content after decompression, in bytes.
+  /// `size_limit`: maximum size of one content after decompression, in bytes.
   explicit ContentStore(std::size_t size_limit) : size_limit_(size_limit) {}
 
-  /// Takes a configuration whose digest the caller computed.
+  /// Adds a configuration whose digest the caller has computed.
   void add(const ContentId& id, model::Configuration configuration);
 
-  /// Decodes content from a peer and takes it, when it is what `id` names. Fails without a trace:
-  /// kMalformed, kTooLarge, kBaseMismatch (the delta's base is not held) or kDigestMismatch.
+  /// Decodes content from a peer and adds it if it matches `id`. On failure the store is unchanged.
+  /// Errors: kMalformed, kTooLarge, kBaseMismatch (the base of the delta is not held) or
+  /// kDigestMismatch.
   Result<ConfigurationPointer> addFull(const ContentId& id, const ContentFull& full);
   Result<ConfigurationPointer> addDelta(const ContentId& id, const ContentDelta& delta);
 
-  /// Nothing when it is not held.
+  /// Returns null if the content is not held.
   ConfigurationPointer find(const ContentId& id) const;
-  /// The content of a version; of two with one version the greater digest.
+  /// Returns the content of a version; if two contents have this version, the one with the greater
+  /// digest.
   ConfigurationPointer findVersion(Version version) const;
   bool holds(const ContentId& id) const { return find(id) != nullptr; }
-  /// The content held of which this is the short id.
+  /// Returns the full id of the held content that has this short id.
   std::optional<ContentId> idOf(const ShortContentId& content) const;
-  /// Every content held, oldest first.
+  /// Returns the ids of all contents held, oldest first.
   std::vector<ContentId> ids() const;
 
-  /// The delta between two held contents, encoded once and kept with the target; nothing when
-  /// either is missing or the delta would be larger than the whole.
+  /// Returns the delta between two held contents. It is encoded once and cached with the target.
+  /// Returns nothing if either content is missing or the delta would be larger than the full
+  /// content.
   std::optional<ContentDelta> delta(const ContentId& base, const ContentId& target);
-  /// The whole content, compressed once. It must be held.
+  /// Returns the full content. It is compressed once and cached. The content must be held.
   ContentFull full(const ContentId& id);
 
-  /// Drops the oldest contents beyond `kept`, except the protected ones.
+  /// Drops the oldest contents until `kept` are left, but never the protected ones.
   void prune(std::size_t kept, const std::vector<ContentId>& protected_ids);
 
  private:
   struct Entry {
     ConfigurationPointer configuration;
-    std::string compressed;                   ///< Empty until first needed.
-    std::map<ContentId, std::string> deltas;  ///< By base.
+    std::string compressed;                   ///< Cached compressed text; empty until first needed.
+    std::map<ContentId, std::string> deltas;  ///< Cached deltas, by base.
   };
 
   Result<ConfigurationPointer> addText(const ContentId& id, const Result<std::string>& text);
--- a/src/distribution/endpoint_replication.cpp
+++ b/src/distribution/endpoint_replication.cpp
@@ -6,8 +6,8 @@
 namespace coursepond::distribution {
 namespace {
 
-constexpr Duration kRepairSpacing = std::chrono::milliseconds(400);
-/// Endpoints and names in one push message, roughly 100 bytes each.
+constexpr Duration kMinRepairInterval = std::chrono::milliseconds(400);
+/// Maximum number of endpoints and names in one push message; each takes roughly 100 bytes.
 constexpr std::size_t kElementsPerPush = 2000;
 
 std::size_t elementsOf(const EndpointChange& change) {
@@ -42,7 +42,7 @@
     statistics_.repairs += applied.size();
     if (warm_ && peers_.isDistributor()) this->push(peers_.targets(Spread::kZone), applied);
   } else {
-    this->push(peers_.targets(push.spread), dueForSpread(push));
+    this->push(peers_.targets(push.spread), changesToForward(push));
   }
   pushEverywhere(reissued);
   fetch(from, to_fetch);
@@ -57,7 +57,7 @@
     }
   }
   if (answer.buckets.empty()) return;
-  repair_allowed_ = environment_.now() + kRepairSpacing;
+  repair_allowed_ = environment_.now() + kMinRepairInterval;
   answer.generations = store_.generationsIn(answer.buckets);
   sender_.send(from, answer);
 }
@@ -72,7 +72,7 @@
   for (const EndpointGeneration& ours : store_.generationsIn(generations.buckets)) {
     const auto their = theirs.find(ours.key);
     if (their == theirs.end() || their->second < ours.generation) {
-      newer_here.push_back(*store_.whole(ours.key));
+      newer_here.push_back(*store_.fullSet(ours.key));
     }
     if (their != theirs.end() && their->second <= ours.generation) theirs.erase(their);
   }
@@ -86,7 +86,7 @@
 void EndpointReplication::onFetch(const NodeId& from, const EndpointFetch& fetch) {
   std::vector<EndpointChange> sets;
   for (const EndpointKey& key : fetch.keys) {
-    if (std::optional<EndpointChange> set = store_.whole(key)) sets.push_back(std::move(*set));
+    if (std::optional<EndpointChange> set = store_.fullSet(key)) sets.push_back(std::move(*set));
   }
   push({{from, Spread::kDirect}}, sets);
 }
@@ -98,17 +98,17 @@
 }
 
 void EndpointReplication::pushEverywhere(const std::vector<EndpointChange>& changes) {
-  push(peers_.foreignTargets(), changes);
+  push(peers_.remoteZoneTargets(), changes);
   if (!peers_.isDistributor()) return push(peers_.targets(Spread::kZone), changes);
 
   std::vector<EndpointChange> own_half;
   std::vector<EndpointChange> other_half;
   for (const EndpointChange& change : changes) {
-    const bool own = peers_.rootsHalf(EndpointStore::bucketOf(change.key));
+    const bool own = peers_.isTreeRootFor(EndpointStore::bucketOf(change.key));
     (own ? own_half : other_half).push_back(change);
   }
   std::vector<PushTarget> other_root;
-  for (const NodeId& node : peers_.otherOwnDistributors()) {
+  for (const NodeId& node : peers_.otherLocalDistributors()) {
     other_root.push_back({node, Spread::kZone});
   }
   push(peers_.targets(Spread::kZone), own_half);
@@ -154,14 +154,15 @@
   return false;
 }
 
-std::vector<EndpointChange> EndpointReplication::dueForSpread(const EndpointPush& push) {
+std::vector<EndpointChange> EndpointReplication::changesToForward(const EndpointPush& push) {
   std::vector<EndpointChange> due;
   for (const EndpointChange& change : push.changes) {
-    // Both distributors get each change, and each starts one tree for half of the sets.
-    const bool other_roots = push.spread == Spread::kZone && peers_.isDistributor() &&
-                             !peers_.rootsHalf(EndpointStore::bucketOf(change.key));
-    if (other_roots) continue;
-    if (store_.takeSpread(change.key, change.generation, push.spread)) due.push_back(change);
+    // Both distributors receive every change. Each of them starts the push tree for half of the
+    // sets.
+    const bool other_starts_tree = push.spread == Spread::kZone && peers_.isDistributor() &&
+                                   !peers_.isTreeRootFor(EndpointStore::bucketOf(change.key));
+    if (other_starts_tree) continue;
+    if (store_.markSpreadUsed(change.key, change.generation, push.spread)) due.push_back(change);
   }
   return due;
 }
--- a/src/distribution/endpoint_replication.h
+++ b/src/distribution/endpoint_replication.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// How endpoint sets come to this node and go on from it: their own stream beside configuration.
+/// Receives endpoint sets and forwards them to other nodes, independently of configuration content.
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 
 struct EndpointStatistics {
   std::uint64_t changes_applied = 0;
-  std::uint64_t repairs = 0;  ///< Changes that came by anti-entropy and not by a push.
+  std::uint64_t repairs = 0;  ///< Changes that arrived by anti-entropy instead of a push.
 };
 
 class EndpointReplication {
@@ -25,7 +25,7 @@
   EndpointReplication(Environment& environment, MessageSender<Message>& sender, const Peers& peers,
                       EndpointCallback on_endpoints);
 
-  /// A whole machine list read here: pushes what differs to every zone.
+  /// Applies a complete machine list read by this node and pushes the differences to every zone.
   void updateFromList(const std::vector<model::EndpointSet>& sets);
 
   void onPush(const NodeId& from, const EndpointPush& push);
@@ -33,11 +33,11 @@
   void onGenerations(const NodeId& from, const EndpointGenerations& generations);
   void onFetch(const NodeId& from, const EndpointFetch& fetch);
 
-  /// The peer's checksum differs: begins the repair between it and this node.
+  /// Called when the peer's checksum differs: starts an anti-entropy repair with this peer.
   void beginRepair(const NodeId& peer);
 
-  /// Repaired sets go on to the zone when this node is its distributor and `warm`. A cold node
-  /// repairs everything it holds and must not push all of it.
+  /// A distributor forwards repaired sets to its zone only while it is `warm`. A cold node obtains
+  /// all of its sets by repair and must not push all of them.
   void setWarm(bool warm) { warm_ = warm; }
 
   std::uint64_t checksum() const { return store_.checksum(); }
@@ -45,13 +45,13 @@
   const EndpointStatistics& statistics() const { return statistics_; }
 
  private:
-  /// Sends changes that began here to every zone.
+  /// Sends changes that originate at this node to every zone.
   void pushEverywhere(const std::vector<EndpointChange>& changes);
   /// Sends the changes to each target in messages of bounded size.
   void push(const std::vector<PushTarget>& targets, const std::vector<EndpointChange>& changes);
   bool apply(const EndpointChange& change, std::vector<EndpointChange>& reissued,
              std::vector<EndpointKey>& to_fetch);
-  std::vector<EndpointChange> dueForSpread(const EndpointPush& push);
+  std::vector<EndpointChange> changesToForward(const EndpointPush& push);
   void fetch(const NodeId& from, const std::vector<EndpointKey>& keys);
 
   Environment& environment_;
@@ -60,7 +60,7 @@
   EndpointCallback on_endpoints_;
   EndpointStore store_;
   bool warm_ = false;
-  TimePoint repair_allowed_;  ///< One repair at a time: the next may begin then.
+  TimePoint repair_allowed_;  ///< Earliest start of the next repair; only one runs at a time.
   EndpointStatistics statistics_;
 };
 
--- a/src/distribution/endpoint_store.cpp
+++ b/src/distribution/endpoint_store.cpp
@@ -17,18 +17,18 @@
 
 EndpointKey keyOf(const model::EndpointSet& set) { return {set.service, set.zone}; }
 
-/// By id, so that equal sets compare equal whatever their order in the platform's list.
+/// Sorts by id, so that equal sets compare equal regardless of their order in the platform's list.
 std::vector<model::Endpoint> sorted(std::vector<model::Endpoint> endpoints) {
   std::sort(endpoints.begin(), endpoints.end(),
             [](const model::Endpoint& a, const model::Endpoint& b) { return a.id < b.id; });
   return endpoints;
 }
 
-EndpointChange wholeChange(const model::EndpointSet& set) {
+EndpointChange fullChange(const model::EndpointSet& set) {
   return EndpointChange{keyOf(set), Generation(), set.generation, set.endpoints, {}};
 }
 
-/// The change from `base` to `target`, or the whole target when that is no longer.
+/// Returns the change from `base` to `target`, or the full target if that is not larger.
 EndpointChange changeBetween(const model::EndpointSet& base, const model::EndpointSet& target) {
   EndpointChange change{keyOf(target), base.generation, target.generation, {}, {}};
   std::map<EndpointId, const model::Endpoint*> known;
@@ -42,7 +42,7 @@
   }
   for (const auto& [id, endpoint] : known) change.removed.push_back(id);
   const std::size_t size = change.upserted.size() + change.removed.size();
-  return size < target.endpoints.size() ? change : wholeChange(target);
+  return size < target.endpoints.size() ? change : fullChange(target);
 }
 
 model::EndpointSet applyTo(const model::EndpointSet& base, const EndpointChange& change) {
@@ -89,7 +89,7 @@
     entry.confirmed = set.generation;
     const bool is_new = entry.set.generation == Generation();
     if (!is_new && set.endpoints == entry.set.endpoints) return;
-    changes.push_back(is_new ? wholeChange(set) : changeBetween(entry.set, set));
+    changes.push_back(is_new ? fullChange(set) : changeBetween(entry.set, set));
     replace(key, entry, std::move(set));
   };
   for (const model::EndpointSet& set : sets) {
@@ -110,13 +110,13 @@
   model::EndpointSet set = entry.set;
   set.generation = entry.confirmed;
   replace(key, entry, set);
-  return wholeChange(set);
+  return fullChange(set);
 }
 
-std::optional<EndpointChange> EndpointStore::whole(const EndpointKey& key) const {
+std::optional<EndpointChange> EndpointStore::fullSet(const EndpointKey& key) const {
   const model::EndpointSet* set = find(key);
   if (set == nullptr) return std::nullopt;
-  return wholeChange(*set);
+  return fullChange(*set);
 }
 
 const model::EndpointSet* EndpointStore::find(const EndpointKey& key) const {
@@ -125,14 +125,14 @@
   return &entry->second.set;
 }
 
-bool EndpointStore::takeSpread(const EndpointKey& key, Generation generation, Spread spread) {
+bool EndpointStore::markSpreadUsed(const EndpointKey& key, Generation generation, Spread spread) {
   Entry& entry = entries_[key];
   if (generation < entry.spread_generation) return false;
   if (generation > entry.spread_generation) {
     entry.spread_generation = generation;
     entry.spread.reset();
   }
-  return entry.spread.take(spread);
+  return entry.spread.markUsed(spread);
 }
 
 std::uint64_t EndpointStore::checksum() const {
--- a/src/distribution/endpoint_store.h
+++ b/src/distribution/endpoint_store.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The endpoint sets a node holds, one per service and zone; the newest generation wins.
+/// Stores the endpoint sets of a node, one per service and zone. The newest generation wins.
 
 #include <array>
 #include <cstdint>
@@ -16,31 +16,33 @@
 
 enum class EndpointOutcome {
   kApplied,
-  kStale,        ///< This or a newer generation is held.
-  kBaseMissing,  ///< The change starts from a generation that is not held.
-  kOutdated,     ///< The machine list read here is newer and says otherwise: reissue it.
+  kStale,        ///< The store already has this generation or a newer one.
+  kBaseMissing,  ///< The change is based on a generation that is not held.
+  kOutdated,     ///< A newer machine list read by this node contradicts it: call reissue().
 };
 
 class EndpointStore {
  public:
   EndpointOutcome apply(const EndpointChange& change);
 
-  /// Takes a whole machine list as read here: returns the changes it makes. A set whose servers
-  /// are unchanged keeps its generation, so that a new list costs only what differs. A set held
-  /// but not listed becomes empty.
+  /// Applies a complete machine list read by this node and returns the resulting changes. A set
+  /// whose servers are unchanged keeps its generation, so that only differences are sent to other
+  /// nodes. A set that is held but not listed becomes empty.
   std::vector<EndpointChange> updateFromList(const std::vector<model::EndpointSet>& sets);
 
-  /// Gives the set the generation of the machine list that confirmed it, after kOutdated.
+  /// Called after kOutdated. Gives the held set the generation of the machine list that confirmed
+  /// it, and returns it as a change.
   EndpointChange reissue(const EndpointKey& key);
 
-  /// The whole set as a change without a base, or nothing when the key is not held.
-  std::optional<EndpointChange> whole(const EndpointKey& key) const;
+  /// Returns the full set as a change without a base, or nothing if the key is not held.
+  std::optional<EndpointChange> fullSet(const EndpointKey& key) const;
   const model::EndpointSet* find(const EndpointKey& key) const;
 
-  /// Passing on in this way is due for the key's generation (true once).
-  bool takeSpread(const EndpointKey& key, Generation generation, Spread spread);
+  /// Returns true the first time it is called for this generation of the key and this `spread`, so
+  /// that each generation is forwarded once in each mode.
+  bool markSpreadUsed(const EndpointKey& key, Generation generation, Spread spread);
 
-  /// Equal on two nodes that hold the same generations.
+  /// Checksum over all keys and generations; equal on nodes that hold the same generations.
   std::uint64_t checksum() const;
   const std::array<std::uint64_t, kEndpointBuckets>& buckets() const { return buckets_; }
   std::vector<EndpointGeneration> generationsIn(const std::vector<std::uint8_t>& buckets) const;
@@ -50,8 +52,8 @@
  private:
   struct Entry {
     model::EndpointSet set;
-    Generation confirmed;  ///< Of the last machine list read here that held this very set.
-    Generation spread_generation;
+    Generation confirmed;  ///< Of the last machine list read by this node that had these servers.
+    Generation spread_generation;  ///< The generation that `spread` refers to.
     SpreadProgress spread;
   };
 
--- a/src/distribution/fetcher.cpp
+++ b/src/distribution/fetcher.cpp
@@ -6,10 +6,11 @@
 namespace coursepond::distribution {
 namespace {
 
-/// After so many refusals in a row the next peer is asked only when the timeout has passed.
+/// After this number of consecutive refusals, the next peer is asked only after the timeout.
 constexpr std::size_t kRefusalsBeforePause = 3;
-/// Of the peers asked without having announced the content, each how-many-th is of another zone.
-constexpr std::size_t kForeignPeriod = 4;
+/// Of the peers that are asked without having announced the content, one in this many is in
+/// another zone.
+constexpr std::size_t kRemoteZonePeriod = 4;
 
 }  // namespace
 
@@ -25,7 +26,7 @@
   Job& job = jobs_.try_emplace(content, environment_).first->second;
   job.timeout = settings_.fetch_timeout;
   job.started = environment_.now();
-  // Asked from the next event on, so that the caller can name sources first.
+  // The first request is sent in the next event, so that the caller can add sources before it.
   job.timer.start(Duration(0), [this, content] { onTimeout(content); });
 }
 
@@ -39,7 +40,7 @@
   job.sources.push_back(peer);
 }
 
-void Fetcher::askAgain(const NodeId& peer, const ContentId& content) {
+void Fetcher::requestMore(const NodeId& peer, const ContentId& content) {
   const auto found = jobs_.find(content);
   if (found == jobs_.end()) return;
   Job& job = found->second;
@@ -55,7 +56,8 @@
   Job& job = found->second;
   job.asked = NodeId();
   ++job.refusals_in_row;
-  if (job.refusals_in_row >= kRefusalsBeforePause) return;  // the timer runs on
+  // The timer is still running and asks the next peer.
+  if (job.refusals_in_row >= kRefusalsBeforePause) return;
   ask(content, job);
 }
 
@@ -109,11 +111,11 @@
     job.sources.pop_back();
     return peer;
   }
-  const std::vector<NodeId> distributors = peers_.otherOwnDistributors();
+  const std::vector<NodeId> distributors = peers_.otherLocalDistributors();
   if (job.attempts < distributors.size()) return distributors[job.attempts];
-  const bool foreign = job.attempts % kForeignPeriod == kForeignPeriod - 1;
-  std::optional<NodeId> peer = foreign ? peers_.randomForeignPeer() : peers_.randomOwnPeer();
-  if (!peer) peer = foreign ? peers_.randomOwnPeer() : peers_.randomForeignPeer();
+  const bool remote = job.attempts % kRemoteZonePeriod == kRemoteZonePeriod - 1;
+  std::optional<NodeId> peer = remote ? peers_.randomRemoteZonePeer() : peers_.randomLocalPeer();
+  if (!peer) peer = remote ? peers_.randomLocalPeer() : peers_.randomRemoteZonePeer();
   return peer;
 }
 
--- a/src/distribution/fetcher.h
+++ b/src/distribution/fetcher.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Fetches contents (and the secret values they need) from one peer at a time.
+/// Fetches contents and the secret values they need, from one peer at a time.
 
 #include <functional>
 #include <map>
@@ -15,34 +15,35 @@
 
 namespace coursepond::distribution {
 
-/// Keeps at most one request in flight per content. A peer that does not answer in time or refuses
-/// is followed by another: first those that said they hold the content, then distributors, random
-/// members of the zone and contacts of other zones, round after round until `forget`.
+/// Keeps at most one request in flight per content. If a peer refuses or does not answer in time,
+/// the next peer is asked: first the peers that announced the content, then the distributors, then
+/// random members of the zone and contacts of other zones, repeatedly until forget() is called.
 class Fetcher {
  public:
-  /// Sends the request that the content needs next to the peer.
+  /// Sends the peer the next request needed to complete the content.
   using SendRequest = std::function<void(const NodeId& to, const ContentId& content)>;
 
   Fetcher(const Settings& settings, Environment& environment, const Peers& peers,
           SendRequest send_request);
 
-  /// Begins to fetch; does nothing when it is being fetched. Beyond kMaxJobs the oldest version
-  /// is given up, unless this one is older still. The protected content is never given up.
+  /// Starts fetching the content, unless it is already being fetched. If kMaxJobs contents are
+  /// being fetched, the oldest of them is dropped, or the request is ignored if `content` is older
+  /// still. The protected content is never dropped.
   void want(const ContentId& content);
-  /// The accepted content: it is fetched whatever else is.
+  /// Sets the accepted content, which is never dropped in favour of others.
   void protect(const ContentId& content) { protected_ = content; }
-  /// The peer holds the content: it is asked before others.
+  /// Adds a peer that holds the content and is therefore asked before others.
   void addSource(const ContentId& content, const NodeId& peer);
-  /// The peer answered and more is needed: ask it for the rest at once.
-  void askAgain(const NodeId& peer, const ContentId& content);
-  /// The peer cannot help now: ask another.
+  /// Asks the same peer for the rest immediately, after an answer that was not complete.
+  void requestMore(const NodeId& peer, const ContentId& content);
+  /// Called when the peer refused the request: asks another peer.
   void onRefused(const NodeId& peer, const ContentId& content);
-  /// It is complete or no longer wanted.
+  /// Stops fetching the content, because it is complete or no longer wanted.
   void forget(const ContentId& content);
 
   bool fetching(const ContentId& content) const { return jobs_.contains(content); }
   std::vector<ContentId> wanted() const;
-  /// Since when the content is being fetched without success.
+  /// Returns when fetching of the content started, or the current time if it is not being fetched.
   TimePoint since(const ContentId& content) const;
 
   static constexpr std::size_t kMaxJobs = 4;
@@ -52,8 +53,8 @@
   struct Job {
     explicit Job(Environment& environment) : timer(environment) {}
     ScopedTimer timer;
-    std::vector<NodeId> sources;  ///< Not asked yet; the last is asked next.
-    NodeId asked;                 ///< Whose answer is awaited.
+    std::vector<NodeId> sources;  ///< Peers not asked yet; the last one is asked next.
+    NodeId asked;                 ///< The peer whose answer is pending; empty if none.
     Duration timeout{};
     std::size_t attempts = 0;
     std::size_t refusals_in_row = 0;
--- a/src/distribution/messages.h
+++ b/src/distribution/messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Messages between the Replicas of a mesh, and their encoding. Each is small unless it carries
-/// content. See docs/design/DISTRIBUTION.md for who sends which and when.
+/// Messages between the Replicas of a mesh, and their encoding. All are small except those that
+/// carry content. docs/design/DISTRIBUTION.md describes who sends which message and when.
 
 #include <array>
 #include <cstdint>
@@ -23,21 +23,21 @@
 inline constexpr std::size_t kMaxMessageBytes = std::size_t{8} * 1024 * 1024;
 /// Largest number of elements in any list of a message.
 inline constexpr std::size_t kMaxListLength = 4096;
-/// Longest error text a proxy reports, in bytes; longer ones are cut.
+/// Maximum length of the error text a proxy reports, in bytes; longer texts are truncated.
 inline constexpr std::size_t kMaxReportedError = 200;
 
-/// What the receiver of pushed news does with it beside taking it.
+/// How the receiver of a push forwards it, in addition to applying it.
 enum class Spread : std::uint8_t {
-  kDirect = 0,      ///< Keep it.
-  kZone = 1,        ///< Bring it to the whole own zone.
-  kFirstTree = 2,   ///< Pass it to the own children in the tree of the zone's first distributor.
-  kSecondTree = 3,  ///< The same in the tree of the second distributor.
+  kDirect = 0,      ///< Sent to this node only; no forwarding requested.
+  kZone = 1,        ///< Forward it to all members of the receiver's zone.
+  kFirstTree = 2,   ///< Forward it to the receiver's children in the first distributor's tree.
+  kSecondTree = 3,  ///< The same in the second distributor's tree.
 };
 
-/// Names one content without room for doubt.
+/// Identifies one content unambiguously.
 struct ContentId {
   Version version;
-  Digest digest;  ///< model::contentDigest of it.
+  Digest digest;  ///< model::contentDigest of the content.
   friend auto operator<=>(const ContentId&, const ContentId&) = default;
 };
 
@@ -51,45 +51,45 @@
 
 ShortContentId shortened(const ContentId& content);
 
-/// Anti-entropy: what the sender holds, in a few bytes. Also reports the proxy's state.
+/// Anti-entropy: a compact description of what the sender holds. Also reports the proxy's state.
 struct Summary {
   Version accepted;
   std::uint32_t accepted_checksum = 0;  ///< Of the accepted record's digest.
   Version in_force;
-  Version staged;                     ///< The newest content held whole.
-  std::uint32_t staged_checksum = 0;  ///< Of its digest.
+  Version staged;                     ///< The newest complete content.
+  std::uint32_t staged_checksum = 0;  ///< Of the digest of the staged content.
   std::uint64_t endpoint_checksum = 0;
-  bool is_answer = false;          ///< Sent because of a Summary; not to be answered with one.
-  bool wants_answer = false;       ///< Cold or paused: answer even when nothing differs.
-  bool witness = false;            ///< The sender knows of an accepted record.
+  bool is_answer = false;  ///< Sent in reply to a Summary; must not be answered with another one.
+  bool wants_answer = false;  ///< The sender is cold or was paused and needs an answer in any case.
+  bool witness = false;       ///< The sender knows an acceptance record.
   bool holds_all_secrets = false;  ///< Of the staged content, for every zone.
-  std::string last_error;          ///< Of the proxy; empty when fine.
+  std::string last_error;          ///< Last error of the proxy; empty if there is none.
   friend bool operator==(const Summary&, const Summary&) = default;
 };
 
-/// An acceptance record on its way to every node.
+/// Propagates an acceptance record to every node.
 struct RecordPush {
   Spread spread = Spread::kDirect;
   AcceptanceRecord record;
   friend bool operator==(const RecordPush&, const RecordPush&) = default;
 };
 
-/// The sender holds this content whole and hands it out.
+/// Announces that the sender holds this content completely and can send it.
 struct ContentAnnouncement {
   Spread spread = Spread::kDirect;
   ContentId content;
   friend bool operator==(const ContentAnnouncement&, const ContentAnnouncement&) = default;
 };
 
-/// Asks for a content; the answer is one of the next three.
+/// Requests content; answered by ContentDelta, ContentFull or ContentRefusal.
 struct ContentFetch {
   ShortContentId content;
-  std::vector<ShortContentId> held;  ///< Contents a delta may start from.
+  std::vector<ShortContentId> held;  ///< Contents that may serve as the base of a delta.
   friend bool operator==(const ContentFetch&, const ContentFetch&) = default;
 };
 
-/// model::canonicalText of the content, compressed against that of the base: a change of one route
-/// takes some ten bytes.
+/// model::canonicalText of the content, compressed against that of the base. A change of one route
+/// takes about ten bytes.
 struct ContentDelta {
   ShortContentId content;
   ShortContentId base;
@@ -97,7 +97,7 @@
   friend bool operator==(const ContentDelta&, const ContentDelta&) = default;
 };
 
-/// model::canonicalText, compressed.
+/// Compressed model::canonicalText of the content.
 struct ContentFull {
   ShortContentId content;
   std::string compressed;
@@ -106,7 +106,7 @@
 
 enum class RefusalReason : std::uint8_t {
   kNotHeld = 0,
-  kBusy = 1,  ///< Handed out too much lately; ask another.
+  kBusy = 1,  ///< The rate limit for full contents is reached; ask another peer.
 };
 
 struct ContentRefusal {
@@ -115,34 +115,34 @@
   friend bool operator==(const ContentRefusal&, const ContentRefusal&) = default;
 };
 
-/// Asks for values of secrets that the content uses in the sender's zone.
+/// Requests the values of secrets that the content uses in the sender's zone.
 struct SecretFetch {
   ShortContentId content;
   std::vector<SecretName> names;
   friend bool operator==(const SecretFetch&, const SecretFetch&) = default;
 };
 
-/// The values asked for, as far as the sender holds them and the receiver's zone uses them.
+/// The requested values, limited to those that the sender holds and the receiver's zone uses.
 struct SecretDelivery {
   ShortContentId content;
   model::SecretValues values;
   friend bool operator==(const SecretDelivery&, const SecretDelivery&) = default;
 };
 
-/// Names the servers of one service in one zone.
+/// Identifies the endpoint set of one service in one zone.
 struct EndpointKey {
   ServiceName service;
   ZoneId zone;
   friend auto operator<=>(const EndpointKey&, const EndpointKey&) = default;
 };
 
-/// One endpoint set, as a change from a generation the receiver may hold. With a zero
-/// `base_generation` it is the whole set.
+/// A change of one endpoint set relative to a generation the receiver may hold. If
+/// `base_generation` is zero, it is the full set.
 struct EndpointChange {
   EndpointKey key;
   Generation base_generation;
   Generation generation;
-  std::vector<model::Endpoint> upserted;  ///< Their zone is the key's.
+  std::vector<model::Endpoint> upserted;  ///< Their zone is that of the key.
   std::vector<EndpointId> removed;
   friend bool operator==(const EndpointChange&, const EndpointChange&) = default;
 };
@@ -153,10 +153,11 @@
   friend bool operator==(const EndpointPush&, const EndpointPush&) = default;
 };
 
-/// Endpoint keys are spread over this many buckets by hash, so that repair compares few bytes.
+/// Number of buckets over which endpoint keys are distributed by hash, so that a repair compares
+/// few bytes.
 inline constexpr std::size_t kEndpointBuckets = 16;
 
-/// The endpoint checksums differ: the sender's, bucket by bucket.
+/// The sender's endpoint checksum of each bucket. Sent when the overall checksums differ.
 struct EndpointBuckets {
   std::array<std::uint64_t, kEndpointBuckets> checksums{};
   friend bool operator==(const EndpointBuckets&, const EndpointBuckets&) = default;
@@ -168,14 +169,14 @@
   friend bool operator==(const EndpointGeneration&, const EndpointGeneration&) = default;
 };
 
-/// Every generation the sender holds in the buckets that differed.
+/// All generations the sender holds in the buckets that differ.
 struct EndpointGenerations {
   std::vector<std::uint8_t> buckets;
   std::vector<EndpointGeneration> generations;
   friend bool operator==(const EndpointGenerations&, const EndpointGenerations&) = default;
 };
 
-/// Asks for whole endpoint sets; answered by an EndpointPush.
+/// Requests full endpoint sets; answered by an EndpointPush.
 struct EndpointFetch {
   std::vector<EndpointKey> keys;
   friend bool operator==(const EndpointFetch&, const EndpointFetch&) = default;
@@ -185,10 +186,11 @@
                              ContentFull, ContentRefusal, SecretFetch, SecretDelivery, EndpointPush,
                              EndpointBuckets, EndpointGenerations, EndpointFetch>;
 
-/// The message as bytes (CBOR; binary digests).
+/// Encodes the message as CBOR, with binary digests.
 std::string encodeMessage(const Message& message);
 
-/// Reads what `encodeMessage` wrote. Never throws: kMalformed or kTooLarge on anything else.
+/// Decodes the output of `encodeMessage`. Returns kMalformed or kTooLarge for anything else. Never
+/// throws.
 Result<Message> decodeMessage(std::string_view bytes);
 
 }  // namespace coursepond::distribution
--- a/src/distribution/peers.cpp
+++ b/src/distribution/peers.cpp
@@ -11,7 +11,7 @@
 Spread treeOf(std::size_t rank) { return rank == 0 ? Spread::kFirstTree : Spread::kSecondTree; }
 std::size_t rankOf(Spread tree) { return tree == Spread::kFirstTree ? 0 : 1; }
 
-/// The distributors of the zone, or its first contacts when the view names none.
+/// Returns the distributors of the zone, or its first contacts if the view contains no distributor.
 std::vector<NodeId> rootsOf(const membership::View& view, const membership::ZoneView& zone) {
   std::vector<membership::Member> members = membership::distributorsOf(view, zone.zone);
   if (members.empty()) members = zone.members;
@@ -22,7 +22,7 @@
   return roots;
 }
 
-/// The members of one zone in the order of one tree; position 0 is the root.
+/// Orders the members of one zone for one push tree; position 0 is the root.
 class TreeOrder {
  public:
   TreeOrder(const std::vector<membership::Member>& members, const NodeId& root, bool backwards)
@@ -30,7 +30,7 @@
 
   std::size_t size() const { return members_.size(); }
 
-  /// Where the node stands, or nothing when it is not in the tree.
+  /// Returns the position of the node, or nothing if it is not in the tree.
   std::optional<std::size_t> positionOf(const NodeId& node) const {
     const std::size_t index = indexOf(node);
     if (index == size() || root_index_ == size()) return std::nullopt;
@@ -39,7 +39,7 @@
     return 1 + (backwards_ ? size() - 2 - among_others : among_others);
   }
 
-  /// `position` is above zero and below size().
+  /// `position` must be greater than zero and less than size().
   const NodeId& nodeAt(std::size_t position) const {
     const std::size_t among_others = backwards_ ? size() - 1 - position : position - 1;
     return members_[among_others + (among_others >= root_index_ ? 1 : 0)].id;
@@ -72,17 +72,17 @@
 
 void Peers::update(const membership::View& view) {
   view_ = view;
-  own_distributors_.clear();
+  local_distributors_.clear();
   if (const membership::ZoneView* own = view_.zone(zone_)) {
-    own_distributors_ = rootsOf(view_, *own);
+    local_distributors_ = rootsOf(view_, *own);
   }
   neighbours_.clear();
   for (const membership::Member& neighbour : membership::ringNeighbours(view_)) {
     neighbours_.push_back(neighbour.id);
   }
   rooted_tree_.reset();
-  for (std::size_t rank = 0; rank < own_distributors_.size(); ++rank) {
-    if (own_distributors_[rank] == self_) rooted_tree_ = treeOf(rank);
+  for (std::size_t rank = 0; rank < local_distributors_.size(); ++rank) {
+    if (local_distributors_[rank] == self_) rooted_tree_ = treeOf(rank);
   }
 }
 
@@ -91,20 +91,20 @@
   if (spread != Spread::kZone) return treeChildren(spread);
   if (rooted_tree_) return treeChildren(*rooted_tree_);
   std::vector<PushTarget> targets;
-  for (const NodeId& node : own_distributors_) targets.push_back({node, Spread::kZone});
+  for (const NodeId& node : local_distributors_) targets.push_back({node, Spread::kZone});
   return targets;
 }
 
 std::vector<PushTarget> Peers::originTargets() const {
   std::vector<PushTarget> targets = this->targets(Spread::kZone);
   if (rooted_tree_) {
-    for (const NodeId& node : otherOwnDistributors()) targets.push_back({node, Spread::kZone});
+    for (const NodeId& node : otherLocalDistributors()) targets.push_back({node, Spread::kZone});
   }
-  for (PushTarget& target : foreignTargets()) targets.push_back(std::move(target));
+  for (PushTarget& target : remoteZoneTargets()) targets.push_back(std::move(target));
   return targets;
 }
 
-std::vector<PushTarget> Peers::foreignTargets() const {
+std::vector<PushTarget> Peers::remoteZoneTargets() const {
   std::vector<PushTarget> targets;
   for (const auto& [id, zone] : view_.zones) {
     if (id == zone_ || !zone.reachable) continue;
@@ -113,14 +113,14 @@
   return targets;
 }
 
-bool Peers::rootsHalf(std::uint64_t hash) const {
+bool Peers::isTreeRootFor(std::uint64_t hash) const {
   if (!rooted_tree_) return false;
-  return own_distributors_.size() < kTrees || hash % kTrees == rankOf(*rooted_tree_);
+  return local_distributors_.size() < kTrees || hash % kTrees == rankOf(*rooted_tree_);
 }
 
-std::vector<NodeId> Peers::otherOwnDistributors() const {
+std::vector<NodeId> Peers::otherLocalDistributors() const {
   std::vector<NodeId> others;
-  for (const NodeId& node : own_distributors_) {
+  for (const NodeId& node : local_distributors_) {
     if (node != self_) others.push_back(node);
   }
   return others;
@@ -135,7 +135,7 @@
   return std::nullopt;
 }
 
-std::optional<NodeId> Peers::randomOwnPeer() const {
+std::optional<NodeId> Peers::randomLocalPeer() const {
   const membership::ZoneView* own = view_.zone(zone_);
   if (own == nullptr) return std::nullopt;
   return randomMember(*own);
@@ -146,7 +146,7 @@
   return neighbours_[environment_.random(neighbours_.size())];
 }
 
-std::optional<NodeId> Peers::randomForeignPeer() const {
+std::optional<NodeId> Peers::randomRemoteZonePeer() const {
   std::vector<const membership::ZoneView*> others;
   for (const auto& [id, zone] : view_.zones) {
     if (id != zone_ && !zone.members.empty()) others.push_back(&zone);
@@ -155,7 +155,7 @@
   return randomMember(*others[environment_.random(others.size())]);
 }
 
-std::vector<NodeId> Peers::oneOfEachOtherZone() const {
+std::vector<NodeId> Peers::onePeerPerRemoteZone() const {
   std::vector<NodeId> nodes;
   for (const auto& [id, zone] : view_.zones) {
     if (id == zone_) continue;
@@ -164,8 +164,8 @@
   return nodes;
 }
 
-std::size_t Peers::otherOwnMembers() const {
-  const auto& members = ownMembers();
+std::size_t Peers::otherLocalMemberCount() const {
+  const auto& members = localMembers();
   return static_cast<std::size_t>(
       std::count_if(members.begin(), members.end(),
                     [this](const membership::Member& member) { return member.id != self_; }));
@@ -173,8 +173,8 @@
 
 std::vector<PushTarget> Peers::treeChildren(Spread tree) const {
   const std::size_t rank = rankOf(tree);
-  if (rank >= own_distributors_.size()) return {};
-  const TreeOrder order(ownMembers(), own_distributors_[rank], rank == 1);
+  if (rank >= local_distributors_.size()) return {};
+  const TreeOrder order(localMembers(), local_distributors_[rank], rank == 1);
   const std::optional<std::size_t> position = order.positionOf(self_);
   if (!position) return {};
   std::vector<PushTarget> children;
@@ -195,7 +195,7 @@
   return others[environment_.random(others.size())]->id;
 }
 
-const std::vector<membership::Member>& Peers::ownMembers() const {
+const std::vector<membership::Member>& Peers::localMembers() const {
   static const std::vector<membership::Member> none;
   const membership::ZoneView* own = view_.zone(zone_);
   return own == nullptr ? none : own->members;
--- a/src/distribution/peers.h
+++ b/src/distribution/peers.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Whom a Replica talks to: the push trees and random choices, all computed from the view.
+/// Selects the peers a Replica sends to, from push trees and at random, based on the membership
+/// view.
 
 #include <cstddef>
 #include <optional>
@@ -12,37 +13,38 @@
 
 namespace coursepond::distribution {
 
-/// One message of a push: to whom, and what the receiver does with it.
+/// One recipient of a push, and how it forwards the push.
 struct PushTarget {
   NodeId to;
   Spread spread = Spread::kDirect;
   friend bool operator==(const PushTarget&, const PushTarget&) = default;
 };
 
-/// Remembers in which ways a piece of news was already passed on, so that each way is taken once.
+/// Remembers in which Spread modes an update has already been forwarded, so that each mode is used
+/// only once.
 class SpreadProgress {
  public:
-  /// True the first time it is called with this way.
-  bool take(Spread spread) {
+  /// Marks the mode as used. Returns true the first time it is called with this mode.
+  bool markUsed(Spread spread) {
     const auto bit = static_cast<std::uint8_t>(1U << static_cast<unsigned>(spread));
-    const bool first = (taken_ & bit) == 0;
-    taken_ = static_cast<std::uint8_t>(taken_ | bit);
+    const bool first = (used_ & bit) == 0;
+    used_ = static_cast<std::uint8_t>(used_ | bit);
     return first;
   }
-  void reset() { taken_ = 0; }
+  void reset() { used_ = 0; }
 
  private:
-  std::uint8_t taken_ = 0;
+  std::uint8_t used_ = 0;
 };
 
-/// The ways in which one piece of news is still to be passed on, and was.
-struct Spreading {
+/// The Spread modes in which one update must still be forwarded, and those already used.
+struct PendingSpread {
   std::vector<Spread> due;
   SpreadProgress progress;
 
-  /// Marks the way as due unless it was taken before. Returns true when it is due now.
+  /// Marks the mode as due unless it was used before. Returns whether it was marked.
   bool add(Spread spread) {
-    if (!progress.take(spread)) return false;
+    if (!progress.markUsed(spread)) return false;
     due.push_back(spread);
     return true;
   }
@@ -50,11 +52,11 @@
 
 /// The peers of one node under its current view.
 ///
-/// Push trees: the own zone's first two distributors are each the root of a tree over the zone's
-/// members with a bounded number of children per node. The first tree orders members by id, the
-/// second by id backwards, so that a node that passes news on in one tree is mostly a leaf of the
-/// other: a dead node costs its subtree one of two copies. Members whose views differ may leave
-/// gaps, which anti-entropy closes.
+/// Push trees: each of the first two distributors of the node's zone is the root of a tree over the
+/// members of the zone, with a bounded number of children per node. The first tree orders members
+/// by ascending id, the second by descending id. An inner node of one tree is thus usually a leaf
+/// of the other, and the failure of one node costs its subtree only one of two copies. If the views
+/// of members differ, some nodes may be missed; anti-entropy brings them up to date.
 class Peers {
  public:
   Peers(NodeId self, ZoneId zone, std::size_t fanout, Environment& environment);
@@ -62,40 +64,41 @@
   void update(const membership::View& view);
   const membership::View& view() const { return view_; }
 
-  /// Where news goes that arrived with `spread`.
+  /// Returns where to forward an update that arrived with `spread`.
   std::vector<PushTarget> targets(Spread spread) const;
-  /// Where news goes that began here: every reachable zone.
+  /// Returns where to send an update that originates at this node: to every reachable zone.
   std::vector<PushTarget> originTargets() const;
 
-  /// The part of these in other zones.
-  std::vector<PushTarget> foreignTargets() const;
-  /// This node is the root that passes endpoint sets of this hash on: each of two distributors has
-  /// half of them.
-  bool rootsHalf(std::uint64_t hash) const;
+  /// Returns the subset of originTargets() in other zones.
+  std::vector<PushTarget> remoteZoneTargets() const;
+  /// Returns whether this node is the root that forwards endpoint sets with this hash. If there are
+  /// two distributors, each of them forwards half of the sets.
+  bool isTreeRootFor(std::uint64_t hash) const;
 
-  /// The own zone's distributors (at most two) without this node.
-  std::vector<NodeId> otherOwnDistributors() const;
+  /// Returns the distributors of the node's zone (at most two) except this node.
+  std::vector<NodeId> otherLocalDistributors() const;
   bool isDistributor() const { return rooted_tree_.has_value(); }
 
-  /// The zone the view gives the node, or nothing when the node is not in it.
+  /// Returns the zone of the node according to the view, or nothing if the view does not contain
+  /// it.
   std::optional<ZoneId> zoneOf(const NodeId& node) const;
 
-  /// A random other member of the own zone.
-  std::optional<NodeId> randomOwnPeer() const;
-  /// A random one of the few members of the own zone that this node talks to anyway: regular
-  /// exchanges with any member would keep a connection to every member open.
+  /// Returns a random other member of the node's zone.
+  std::optional<NodeId> randomLocalPeer() const;
+  /// Returns a random one of the few members of its zone to which this node has connections anyway.
+  /// Regular exchanges with arbitrary members would keep a connection to every member open.
   std::optional<NodeId> randomNeighbour() const;
-  /// A random contact of a random other zone, cut-off ones included.
-  std::optional<NodeId> randomForeignPeer() const;
-  /// One random contact of each other zone.
-  std::vector<NodeId> oneOfEachOtherZone() const;
-  /// Other members of the own zone, counted.
-  std::size_t otherOwnMembers() const;
+  /// Returns a random contact of a random other zone, which may be unreachable.
+  std::optional<NodeId> randomRemoteZonePeer() const;
+  /// Returns one random contact of each other zone.
+  std::vector<NodeId> onePeerPerRemoteZone() const;
+  /// Returns the number of other members of the node's zone.
+  std::size_t otherLocalMemberCount() const;
 
  private:
   std::vector<PushTarget> treeChildren(Spread tree) const;
   std::optional<NodeId> randomMember(const membership::ZoneView& zone) const;
-  const std::vector<membership::Member>& ownMembers() const;
+  const std::vector<membership::Member>& localMembers() const;
 
   NodeId self_;
   ZoneId zone_;
@@ -103,8 +106,8 @@
   Environment& environment_;
   membership::View view_;
   std::vector<NodeId> neighbours_;
-  std::vector<NodeId> own_distributors_;
-  std::optional<Spread> rooted_tree_;  ///< The tree this node is the root of.
+  std::vector<NodeId> local_distributors_;
+  std::optional<Spread> rooted_tree_;  ///< The tree of which this node is the root, if any.
 };
 
 }  // namespace coursepond::distribution
--- a/src/distribution/proxy_reports.h
+++ b/src/distribution/proxy_reports.h
@@ -10,24 +10,24 @@
 
 namespace coursepond::distribution {
 
-/// What one proxy holds, gathered for GET /v1/status and /v1/proxies.
+/// The versions one proxy holds, collected for GET /v1/status and /v1/proxies.
 struct ProxyState {
   NodeId node;
   ZoneId zone;
   Version in_force;
   Version accepted;
   Version staged;
-  std::string last_error;  ///< Empty when fine.
+  std::string last_error;  ///< Empty if there is none.
   friend bool operator==(const ProxyState&, const ProxyState&) = default;
 };
 
-/// The proxies of a zone as their summaries reported them to this node.
+/// The states of the proxies of a zone, as reported to this node by their summaries.
 class ProxyReports {
  public:
   explicit ProxyReports(Duration expiry) : expiry_(expiry) {}
 
   void onSummary(const NodeId& node, const ZoneId& zone, const Summary& summary, TimePoint now);
-  /// Those that reported within the expiry, by id.
+  /// Returns the states reported within the expiry time, ordered by node id.
   std::vector<ProxyState> current(TimePoint now) const;
   void forgetExpired(TimePoint now);
 
--- a/src/distribution/replica.h
+++ b/src/distribution/replica.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One node's copy of the configuration and of the endpoint records, and how it keeps up:
-/// staging, commit, push down the tree, anti-entropy, cold start. No sockets.
+/// Holds one node's copy of the configuration and of the endpoint sets, and keeps it up to date by
+/// staging, commit, push trees, anti-entropy and cold start. Does no network I/O itself.
 /// See docs/design/DISTRIBUTION.md.
 
 #include <functional>
@@ -24,21 +24,23 @@
 
 namespace coursepond::distribution {
 
-/// Told of what is in force here. Do not call back into the Replica from inside.
+/// Receives notifications about what is in force at this node. Must not call the Replica from
+/// within these functions.
 class ReplicaObserver {
  public:
   virtual ~ReplicaObserver() = default;
-  /// A whole newer snapshot is to be put in force now. Versions only rise.
+  /// Called with a complete newer snapshot, which must be put in force now. Versions only increase.
   virtual void onSnapshot(model::SnapshotPointer snapshot) = 0;
-  /// A newer endpoint set of one service and zone.
+  /// Called with a newer endpoint set of one service and zone.
   virtual void onEndpoints(const model::EndpointSet& endpoints) = 0;
-  /// Nobody that could be asked knew an accepted version: `version`, the newest published, follows.
+  /// Called when no node that could be asked knows an accepted version, and this node is about to
+  /// adopt `version`, the newest published one.
   virtual void onAdoption(Version version) { static_cast<void>(version); }
-  /// Content was refused (counted and shown in status).
+  /// Called when content was rejected. The rejection is counted and shown in the status.
   virtual void onRejected(const Error& error) = 0;
-  /// No reachable peer holds the content or the secret values of this accepted version. A source
-  /// reader reads its document again and calls Replica::stage; other nodes ignore it. Repeated
-  /// until the document has come.
+  /// Called when this node cannot get the content or all secret values of this accepted version
+  /// from its peers. A source reader then reads the document again and calls Replica::stage; other
+  /// nodes ignore the call. Repeated until the document has been staged.
   virtual void onDocumentNeeded(Version version) { static_cast<void>(version); }
 };
 
@@ -49,13 +51,13 @@
   std::uint64_t full_contents_received = 0;
   std::uint64_t content_rejected = 0;
   std::uint64_t anti_entropy_rounds = 0;
-  std::uint64_t repairs = 0;  ///< Anti-entropy brought something a push had missed.
-  std::uint64_t adopted_after_loss =
-      0;  ///< Cold start without any witness: newest published taken.
+  std::uint64_t repairs = 0;  ///< Records received by anti-entropy because a push was missed.
+  /// Cold starts without any witness that adopted the newest published version.
+  std::uint64_t adopted_after_loss = 0;
   std::uint64_t endpoint_changes_applied = 0;
-  std::uint64_t endpoint_repairs = 0;     ///< Of these, brought by anti-entropy.
-  std::uint64_t busy_refusals = 0;        ///< Whole contents not handed out: over the rate.
-  std::uint64_t secrets_refused = 0;      ///< Asked for by a node whose zone is not known.
+  std::uint64_t endpoint_repairs = 0;     ///< Endpoint changes applied by anti-entropy.
+  std::uint64_t busy_refusals = 0;        ///< Requests for full contents refused by the rate limit.
+  std::uint64_t secrets_refused = 0;      ///< Secret requests from nodes whose zone is not known.
   std::uint64_t documents_requested = 0;  ///< See ReplicaObserver::onDocumentNeeded.
   std::uint64_t pauses = 0;
 };
@@ -69,29 +71,32 @@
   void start();
   void onViewChanged(const membership::View& view, const membership::Roles& roles);
   void onMessage(const NodeId& from, const Message& message);
-  /// The process was paused: asks peers before it acts on any role.
+  /// Called when the process has been paused. The replica asks its peers for their state before it
+  /// acts on any role again.
   void onPauseDetected();
 
-  /// From a source reader or a plan: content becomes known here and is staged to the mesh.
+  /// Adds a document from a source reader or a plan, and stages it to the mesh.
   void stage(const model::ConfigurationDocument& document);
-  /// From a source reader: the whole machine list. A service and zone that is held but not listed
-  /// is taken as without servers. An empty list is ignored.
+  /// Applies the complete machine list from a source reader. A service and zone that is held but
+  /// not listed is treated as having no servers. An empty list is ignored.
   void updateEndpoints(const std::vector<model::EndpointSet>& sets);
 
   // RecordHolder
   const AcceptanceRecord& record() const override;
   bool offer(const AcceptanceRecord& record) override;
 
-  /// The configuration in force here, or nothing before the first.
+  /// Returns the configuration in force at this node, or null if there is none yet.
   std::shared_ptr<const model::Configuration> configurationInForce() const;
-  /// A staged or accepted configuration by version, when held.
+  /// Returns the staged or accepted configuration of a version, or null if it is not held.
   std::shared_ptr<const model::Configuration> find(Version version) const;
-  /// The newest version staged here (zero: none).
+  /// Returns the newest version staged at this node; zero means none.
   Version newestStaged() const;
-  /// The accepted version learned from peers (or adopted when there was no witness) is in force.
+  /// Returns whether an accepted version, learned from peers or adopted without a witness, is in
+  /// force.
   bool ready() const;
-  /// States of proxies as known here: own zone in full when this node is a distributor, summaries
-  /// otherwise. Used by the operator API, which asks distributors of every zone.
+  /// Returns the states of the proxies known to this node: those of its whole zone if it is a
+  /// distributor, otherwise only its own. Used by the operator API, which asks the distributors of
+  /// every zone.
   std::vector<ProxyState> knownProxies() const;
   const ReplicaStatistics& statistics() const;
 
--- a/src/distribution/replica_implementation.cpp
+++ b/src/distribution/replica_implementation.cpp
@@ -10,21 +10,24 @@
 namespace coursepond::distribution {
 namespace {
 
-/// How long a node that staged a document keeps the secret values of every zone.
-constexpr Duration kStagerKeepsSecrets = std::chrono::seconds(60);
-/// How long accepted content may be missing before its document is asked for again.
-constexpr Duration kContentPatience = std::chrono::seconds(2);
-constexpr Duration kDocumentRequestLimit = std::chrono::seconds(60);
-/// Peers of the own zone that a cold or paused node asks in one round.
-constexpr int kAskedPerRound = 2;
-/// Summaries per round that a zone's plain members together send to other zones.
-constexpr std::size_t kForeignSummariesPerZone = 2;
+/// How long a node that has staged a document keeps the secret values of every zone.
+constexpr Duration kStagedSecretsRetention = std::chrono::seconds(60);
+/// How long accepted content may be missing before its document is requested again.
+constexpr Duration kMissingContentDelay = std::chrono::seconds(2);
+/// Upper bound for the backoff between two requests for a document.
+constexpr Duration kMaxDocumentRequestInterval = std::chrono::seconds(60);
+/// Number of peers of the node's zone that a cold or paused node asks in one round.
+constexpr int kPeersAskedPerRound = 2;
+/// Number of summaries per round that the members of a zone without a role send to other zones, all
+/// together and on average.
+constexpr std::size_t kRemoteZoneSummariesPerRound = 2;
 
 bool newer(const AcceptanceRecord& left, const AcceptanceRecord& right) {
   return std::tie(left.version, left.digest) > std::tie(right.version, right.digest);
 }
 
-/// The first four bytes: enough to notice that two digests of one version differ.
+/// Returns the first four bytes of the digest, which are enough to detect that two digests of one
+/// version differ.
 std::uint32_t checksumOf(const Digest& digest) {
   const std::string bytes = digest.bytes();
   std::uint32_t checksum = 0;
@@ -69,14 +72,14 @@
 }
 
 void Replica::Implementation::onMessage(const NodeId& from, const Message& message) {
-  std::visit([&](const auto& fields) { on(from, fields); }, message);
+  std::visit([&](const auto& fields) { handle(from, fields); }, message);
 }
 
 void Replica::Implementation::onPauseDetected() {
   ++statistics_.pauses;
   rechecking_ = true;
   recheck_since_ = environment_.now();
-  content_.holdSpreading(true);
+  content_.setSpreadingPaused(true);
   cold_start_.onPause(environment_.now());
   tick();
 }
@@ -90,17 +93,18 @@
     return reject({ErrorKind::kTooLarge,
                    version + " has " + std::to_string(text.size()) + " bytes, more than " +
                        std::to_string(settings_.content_size_limit),
-                   "publish less, or raise content_size_limit on every node"});
+                   "publish a smaller configuration, or raise content_size_limit on every node"});
   }
   if (content.version < record_.version) {
-    return reject({ErrorKind::kVersionRegression, version + " is older than the accepted one",
+    return reject({ErrorKind::kVersionRegression, version + " is older than the accepted version",
                    "publish the content again under a higher version"});
   }
   if (content.version == record_.version && content.digest != record_.digest) {
-    return reject({ErrorKind::kDigestMismatch, version + " differs from what was accepted under it",
+    return reject({ErrorKind::kDigestMismatch,
+                   version + " differs from the content accepted as this version",
                    "publish changed content under a higher version"});
   }
-  all_secrets_until_ = environment_.now() + kStagerKeepsSecrets;
+  all_secrets_until_ = environment_.now() + kStagedSecretsRetention;
   published_ = std::max(published_, content);
   content_.stage(content, document);
   acceptPublished();
@@ -113,7 +117,7 @@
 bool Replica::Implementation::offer(const AcceptanceRecord& record) {
   if (!merge(record)) return false;
   if (rechecking_) {
-    record_spreading_.add(Spread::kZone);
+    pending_record_spread_.add(Spread::kZone);
   } else {
     for (const PushTarget& target : peers_.originTargets()) {
       sender_.send(target.to, RecordPush{target.spread, record_});
@@ -147,23 +151,23 @@
   return statistics_;
 }
 
-// ---- The record and what is in force ----
+// ---- The acceptance record and the content in force ----
 
-void Replica::Implementation::on(const NodeId& from, const RecordPush& push) {
-  const bool news = merge(push.record);
-  if (!news && push.record != record_) return;
-  if (news) {
+void Replica::Implementation::handle(const NodeId& from, const RecordPush& push) {
+  const bool is_newer = merge(push.record);
+  if (!is_newer && push.record != record_) return;
+  if (is_newer) {
     if (push.spread == Spread::kDirect) ++statistics_.repairs;
     content_.wantFrom(from, acceptedContent());
   }
-  // News that came by repair may be news to the whole zone.
-  const bool relay = news && push.spread == Spread::kDirect;
-  record_spreading_.add(relay ? Spread::kZone : push.spread);
+  // A record that arrived by repair may be new to the whole zone.
+  const bool forward_to_zone = is_newer && push.spread == Spread::kDirect;
+  pending_record_spread_.add(forward_to_zone ? Spread::kZone : push.spread);
   spreadRecord();
   applyIfPossible();
 }
 
-void Replica::Implementation::on(const NodeId& from, const ContentAnnouncement& announcement) {
+void Replica::Implementation::handle(const NodeId& from, const ContentAnnouncement& announcement) {
   content_.onAnnouncement(from, announcement);
 }
 
@@ -177,18 +181,18 @@
 bool Replica::Implementation::merge(const AcceptanceRecord& record) {
   if (!newer(record, record_)) return false;
   record_ = record;
-  record_spreading_ = Spreading();
+  pending_record_spread_ = PendingSpread();
   cold_start_.onRecord(environment_.now());
   prune();
   content_.want(acceptedContent());
-  reportSoon();
+  scheduleReport();
   return true;
 }
 
 void Replica::Implementation::spreadRecord() {
   if (rechecking_) return;
   std::vector<Spread> due;
-  std::swap(due, record_spreading_.due);
+  std::swap(due, pending_record_spread_.due);
   for (const Spread way : due) {
     for (const PushTarget& target : peers_.targets(way)) {
       sender_.send(target.to, RecordPush{target.spread, record_});
@@ -219,13 +223,13 @@
   ++statistics_.snapshots_applied;
   endpoints_.setWarm(true);
   prune();
-  reportSoon();
+  scheduleReport();
   observer_.onSnapshot(std::move(snapshot));
 }
 
 void Replica::Implementation::acceptPublished() {
   if (settings_.acceptance != AcceptanceMode::kAutomatic || rechecking_) return;
-  // A cold node has to hear of what was accepted before, or adopt.
+  // A cold node must first learn the accepted version from its peers, or adopt one.
   if (!cold_start_.settled(environment_.now())) return;
   const ContentId published = newestPublished();
   if (published.version <= record_.version) return;
@@ -241,8 +245,8 @@
 }
 
 ContentId Replica::Implementation::newestPublished() const {
-  // Whatever is staged was published. A reader may have it from the other reader only, and has to
-  // stand in for that one.
+  // All staged content has been published. A reader may have received it only from the other
+  // reader, and must be able to take over from it.
   return roles_.source_reader ? std::max(published_, content_.newestComplete()) : published_;
 }
 
@@ -252,14 +256,15 @@
   const TimePoint now = environment_.now();
   const bool held = content_.contents().holds(content);
   const bool needed = held ? !content_.holdsAllSecretsOf(content)
-                           : now - content_.missingSince(content) >= kContentPatience;
+                           : now - content_.missingSince(content) >= kMissingContentDelay;
   if (!needed) {
     document_request_interval_ = settings_.document_request_interval;
     return;
   }
   if (now < next_document_request_) return;
   next_document_request_ = now + document_request_interval_;
-  document_request_interval_ = std::min(document_request_interval_ * 2, kDocumentRequestLimit);
+  document_request_interval_ =
+      std::min(document_request_interval_ * 2, kMaxDocumentRequestInterval);
   ++statistics_.documents_requested;
   observer_.onDocumentNeeded(record_.version);
 }
@@ -267,7 +272,7 @@
 void Replica::Implementation::reject(const Error& error) {
   ++statistics_.content_rejected;
   last_error_ = describe(error).substr(0, kMaxReportedError);
-  reportSoon();
+  scheduleReport();
   observer_.onRejected(error);
 }
 
@@ -283,7 +288,8 @@
 // ---- Anti-entropy ----
 
 void Replica::Implementation::scheduleTick() {
-  const Duration interval = asking() ? settings_.cold_interval : settings_.anti_entropy_interval;
+  const Duration interval =
+      needsAnswers() ? settings_.cold_interval : settings_.anti_entropy_interval;
   tick_timer_.start(jittered(interval), [this] { tick(); });
 }
 
@@ -302,26 +308,27 @@
   scheduleTick();
 }
 
-bool Replica::Implementation::asking() {
+bool Replica::Implementation::needsAnswers() {
   return rechecking_ || !cold_start_.settled(environment_.now());
 }
 
 void Replica::Implementation::sendSummaries() {
   Summary mine = summary();
-  mine.wants_answer = asking();
-  const int own_peers = mine.wants_answer ? kAskedPerRound : 1;
-  for (int i = 0; i < own_peers; ++i) {
-    const auto peer = mine.wants_answer ? peers_.randomOwnPeer() : peers_.randomNeighbour();
+  mine.wants_answer = needsAnswers();
+  const int peer_count = mine.wants_answer ? kPeersAskedPerRound : 1;
+  for (int i = 0; i < peer_count; ++i) {
+    const auto peer = mine.wants_answer ? peers_.randomLocalPeer() : peers_.randomNeighbour();
     if (peer) sender_.send(*peer, mine);
   }
   if (mine.wants_answer) {
-    for (const NodeId& node : peers_.oneOfEachOtherZone()) sender_.send(node, mine);
+    for (const NodeId& node : peers_.onePeerPerRemoteZone()) sender_.send(node, mine);
     return;
   }
-  const bool bridges = peers_.isDistributor() || roles_.source_reader ||
-                       environment_.random(peers_.otherOwnMembers() + 1) < kForeignSummariesPerZone;
-  if (!bridges) return;
-  if (const auto peer = peers_.randomForeignPeer()) sender_.send(*peer, mine);
+  const bool sends_to_other_zones =
+      peers_.isDistributor() || roles_.source_reader ||
+      environment_.random(peers_.otherLocalMemberCount() + 1) < kRemoteZoneSummariesPerRound;
+  if (!sends_to_other_zones) return;
+  if (const auto peer = peers_.randomRemoteZonePeer()) sender_.send(*peer, mine);
 }
 
 Summary Replica::Implementation::summary() {
@@ -339,7 +346,7 @@
   return summary;
 }
 
-void Replica::Implementation::on(const NodeId& from, const Summary& theirs) {
+void Replica::Implementation::handle(const NodeId& from, const Summary& theirs) {
   if (peers_.isDistributor() && peers_.zoneOf(from) == zone_) {
     reports_.onSummary(from, zone_, theirs, environment_.now());
   }
@@ -353,7 +360,7 @@
 }
 
 void Replica::Implementation::answerSummary(const NodeId& from, const Summary& theirs) {
-  const bool they_are_ahead = sendWhatIsNewer(from, theirs);
+  const bool they_are_ahead = sendNewerState(from, theirs);
   if (theirs.is_answer) return;
   if (theirs.endpoint_checksum != endpoints_.checksum()) endpoints_.beginRepair(from);
   if (!theirs.wants_answer && !they_are_ahead) return;
@@ -362,7 +369,7 @@
   sender_.send(from, answer);
 }
 
-bool Replica::Implementation::sendWhatIsNewer(const NodeId& to, const Summary& theirs) {
+bool Replica::Implementation::sendNewerState(const NodeId& to, const Summary& theirs) {
   const bool record_differs =
       theirs.accepted == record_.version && theirs.accepted_checksum != checksumOf(record_.digest);
   if (theirs.accepted < record_.version || record_differs) {
@@ -382,13 +389,13 @@
 
 void Replica::Implementation::endRecheck() {
   rechecking_ = false;
-  content_.holdSpreading(false);
+  content_.setSpreadingPaused(false);
   spreadRecord();
 }
 
 // ---- Reports ----
 
-void Replica::Implementation::reportSoon() {
+void Replica::Implementation::scheduleReport() {
   if (report_due_soon_) return;
   report_due_soon_ = true;
   report_timer_.start(randomUpTo(settings_.report_spread), [this] { report(); });
@@ -397,7 +404,7 @@
 void Replica::Implementation::report() {
   report_due_soon_ = false;
   const Summary mine = summary();
-  for (const NodeId& node : peers_.otherOwnDistributors()) sender_.send(node, mine);
+  for (const NodeId& node : peers_.otherLocalDistributors()) sender_.send(node, mine);
   report_timer_.start(jittered(settings_.report_interval), [this] { report(); });
 }
 
--- a/src/distribution/replica_implementation.h
+++ b/src/distribution/replica_implementation.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The inside of Replica: the acceptance record, what is in force, anti-entropy and reports. The
-/// larger jobs are in classes of their own: content, endpoints, cold start, peers.
+/// Implementation of Replica: the acceptance record, the content in force, anti-entropy and
+/// reports. Content, endpoints, cold start and peer selection are handled by separate classes.
 
 #include <memory>
 #include <string>
@@ -39,32 +39,34 @@
   const ReplicaStatistics& statistics() const;
 
  private:
-  // Messages, by type.
-  void on(const NodeId& from, const Summary& summary);
-  void on(const NodeId& from, const RecordPush& push);
-  void on(const NodeId& from, const ContentAnnouncement& announcement);
-  void on(const NodeId& from, const ContentFetch& fetch) { content_.onFetch(from, fetch); }
-  void on(const NodeId& from, const ContentDelta& delta) { content_.onDelta(from, delta); }
-  void on(const NodeId& from, const ContentFull& full) { content_.onFull(from, full); }
-  void on(const NodeId& from, const ContentRefusal& refusal) { content_.onRefusal(from, refusal); }
-  void on(const NodeId& from, const SecretFetch& fetch) { content_.onSecretFetch(from, fetch); }
-  void on(const NodeId& from, const SecretDelivery& delivery) {
+  // Message handlers, one overload per type.
+  void handle(const NodeId& from, const Summary& summary);
+  void handle(const NodeId& from, const RecordPush& push);
+  void handle(const NodeId& from, const ContentAnnouncement& announcement);
+  void handle(const NodeId& from, const ContentFetch& fetch) { content_.onFetch(from, fetch); }
+  void handle(const NodeId& from, const ContentDelta& delta) { content_.onDelta(from, delta); }
+  void handle(const NodeId& from, const ContentFull& full) { content_.onFull(from, full); }
+  void handle(const NodeId& from, const ContentRefusal& refusal) {
+    content_.onRefusal(from, refusal);
+  }
+  void handle(const NodeId& from, const SecretFetch& fetch) { content_.onSecretFetch(from, fetch); }
+  void handle(const NodeId& from, const SecretDelivery& delivery) {
     content_.onSecretDelivery(from, delivery);
   }
-  void on(const NodeId& from, const EndpointPush& push) { endpoints_.onPush(from, push); }
-  void on(const NodeId& from, const EndpointBuckets& buckets) {
+  void handle(const NodeId& from, const EndpointPush& push) { endpoints_.onPush(from, push); }
+  void handle(const NodeId& from, const EndpointBuckets& buckets) {
     endpoints_.onBuckets(from, buckets);
   }
-  void on(const NodeId& from, const EndpointGenerations& generations) {
+  void handle(const NodeId& from, const EndpointGenerations& generations) {
     endpoints_.onGenerations(from, generations);
   }
-  void on(const NodeId& from, const EndpointFetch& fetch) { endpoints_.onFetch(from, fetch); }
+  void handle(const NodeId& from, const EndpointFetch& fetch) { endpoints_.onFetch(from, fetch); }
 
   // ContentObserver
   void onContentComplete(const ContentId& content) override;
   void onContentRejected(const Error& error) override;
 
-  // The record and what is in force.
+  // The acceptance record and the content in force.
   ContentId acceptedContent() const { return {record_.version, record_.digest}; }
   bool merge(const AcceptanceRecord& record);
   void spreadRecord();
@@ -81,15 +83,15 @@
   // Anti-entropy.
   void scheduleTick();
   void tick();
-  bool asking();
+  bool needsAnswers();
   void sendSummaries();
   Summary summary();
   void answerSummary(const NodeId& from, const Summary& theirs);
-  bool sendWhatIsNewer(const NodeId& to, const Summary& theirs);
+  bool sendNewerState(const NodeId& to, const Summary& theirs);
   void endRecheck();
 
   // Reports to the zone's distributors.
-  void reportSoon();
+  void scheduleReport();
   void report();
   Duration jittered(Duration interval);
   Duration randomUpTo(Duration limit);
@@ -110,17 +112,17 @@
 
   membership::Roles roles_;
   AcceptanceRecord record_;
-  Spreading record_spreading_;
+  PendingSpread pending_record_spread_;
   ContentId in_force_;
   ContentId published_;  ///< The newest content staged from the platform at this node.
-  ContentId unusable_;   ///< Accepted content from which no snapshot could be built.
+  ContentId unusable_;   ///< Accepted content from which building a snapshot failed.
   std::string last_error_;
 
-  bool rechecking_ = false;  ///< Paused lately; no peer answered since.
+  bool rechecking_ = false;  ///< The process was paused and no peer has answered since.
   TimePoint recheck_since_;
   bool report_due_soon_ = false;
   TimePoint all_secrets_until_;
-  bool kept_all_secrets_ = false;  ///< At the last pruning.
+  bool kept_all_secrets_ = false;  ///< Value of keepsAllSecrets() at the last pruning.
   TimePoint next_document_request_;
   Duration document_request_interval_;
   mutable ReplicaStatistics statistics_;
--- a/src/distribution/scoped_timer.h
+++ b/src/distribution/scoped_timer.h
@@ -7,7 +7,8 @@
 
 namespace coursepond::distribution {
 
-/// One timer that is cancelled with its owner, so that no callback outlives what it refers to.
+/// A timer that is cancelled when its owner is destroyed, so that the callback never runs after
+/// that.
 class ScopedTimer {
  public:
   explicit ScopedTimer(Environment& environment) : environment_(environment) {}
@@ -15,12 +16,12 @@
   ScopedTimer(const ScopedTimer&) = delete;
   ScopedTimer& operator=(const ScopedTimer&) = delete;
 
-  /// Runs `callback` once after `delay`, in place of any earlier one.
+  /// Runs `callback` once after `delay`. Replaces a callback that is still pending.
   void start(Duration delay, std::function<void()> callback) {
     cancel();
     timer_ = environment_.schedule(delay, [this, callback = std::move(callback)] {
       timer_ = 0;
-      // The callback may start this timer again, which would destroy the running function.
+      // The callback may restart this timer, which would destroy the function while it runs.
       const std::function<void()> running = callback;
       running();
     });
--- a/src/distribution/secret_store.h
+++ b/src/distribution/secret_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The secret values a node holds. Values are never logged and leave only towards nodes of a zone
-/// whose routes use them.
+/// Stores the secret values of a node. Values are never logged, and are sent only to nodes of a
+/// zone whose routes use them.
 
 #include <map>
 #include <optional>
@@ -14,29 +14,29 @@
 
 class SecretStore {
  public:
-  /// Takes those of `values` that the configuration names with their digest; others are dropped.
-  /// Returns how many were new.
+  /// Adds those of `values` whose name and digest appear in the configuration, and ignores the
+  /// others. Returns the number of new values.
   std::size_t add(const model::Configuration& configuration, const model::SecretValues& values);
 
-  /// The names of secrets that the zone's routes use and whose value is not held.
+  /// Returns the names of the secrets that the zone's routes use and whose values are not held.
   std::vector<SecretName> missing(const model::Configuration& configuration,
                                   const ZoneId& zone) const;
-  /// Every secret the configuration names is held.
+  /// Returns whether the values of all secrets in the configuration are held.
   bool holdsAll(const model::Configuration& configuration) const;
 
-  /// The values held of what the zone's routes use.
+  /// Returns the held values of the secrets that the zone's routes use.
   model::SecretValues valuesFor(const model::Configuration& configuration,
                                 const ZoneId& zone) const;
 
-  /// Drops values that none of the configurations names; with a zone given, also those that its
-  /// routes do not use in any of them.
+  /// Drops the values that none of the configurations refers to. If a zone is given, also drops the
+  /// values that its routes do not use in any of them.
   void prune(const std::vector<ConfigurationPointer>& configurations,
              const std::optional<ZoneId>& only_zone);
 
   std::size_t size() const { return values_.size(); }
 
  private:
-  /// One value of a secret. Two versions may name two values of the same secret.
+  /// Identifies one value of a secret. Two versions may use different values of the same secret.
   struct Key {
     SecretName name;
     Digest digest;
--- a/tests/distribution/acceptance_mesh.h
+++ b/tests/distribution/acceptance_mesh.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Nodes that hold nothing but a record, a voter and a coordinator, on a virtual network.
+/// A mesh of nodes on a virtual network, each with only a record, a voter and a coordinator.
 
 #include <map>
 #include <memory>
@@ -21,7 +21,7 @@
                           Version(base)};
 }
 
-/// A record that only goes forward.
+/// Holds a record that never regresses.
 class TestHolder final : public distribution::RecordHolder {
  public:
   const AcceptanceRecord& record() const override { return record_; }
@@ -62,7 +62,7 @@
   distribution::AcceptanceCoordinator coordinator;
 };
 
-/// The outcome of a confirmation, once there.
+/// The outcome of a confirmation; empty until it is known.
 using Outcome = std::shared_ptr<std::optional<Result<AcceptanceRecord>>>;
 
 class AcceptanceMesh {
@@ -81,7 +81,7 @@
 
   AcceptanceNode& node(const std::string& name) { return *nodes.at(NodeId(name)); }
 
-  /// The mesh as `self` sees it; zones that a cut separates from it are unreachable.
+  /// Returns the view of `self`. Zones separated from it by a partition are unreachable.
   membership::View viewOf(const AcceptanceNode& self) const {
     membership::View view;
     view.self = self.id;
@@ -97,13 +97,13 @@
     return view;
   }
 
-  /// Separates these zones from all others. The view of later confirmations knows.
+  /// Partitions these zones from all others. The views of later confirmations show the partition.
   void cut(std::set<ZoneId> zones) {
     cut_zones = std::move(zones);
     cutSilently(cut_zones);
   }
 
-  /// The same, but views do not know yet.
+  /// The same, but the views do not show the partition.
   void cutSilently(std::set<ZoneId> zones) {
     network.setFilter([this, zones](const NodeId& from, const NodeId& to, const auto&) {
       return zones.contains(nodes.at(from)->zone) != zones.contains(nodes.at(to)->zone);
@@ -121,24 +121,24 @@
     AcceptanceNode& self = node(at);
     self.coordinator.confirm(PlanId(plan), proposed, viewOf(self), [outcome](auto result) {
       if (outcome->has_value()) {
-        throw std::logic_error("called back twice");
+        throw std::logic_error("callback invoked twice");
       }
       *outcome = std::move(result);
     });
     return outcome;
   }
 
-  /// Waits for the outcome.
+  /// Runs the virtual time until the outcome is known and returns it.
   Result<AcceptanceRecord> await(const Outcome& outcome) {
-    const bool told =
+    const bool finished =
         time.runUntilTrue([&] { return outcome->has_value(); }, std::chrono::seconds(10));
-    if (!told) {
+    if (!finished) {
       throw std::logic_error("no outcome within ten seconds");
     }
     return outcome->value();
   }
 
-  /// Nodes that hold the record or a later one.
+  /// Returns the number of nodes that hold exactly this record.
   std::size_t holders(const AcceptanceRecord& record) const {
     std::size_t count = 0;
     for (const auto& [id, node] : nodes) {
@@ -147,8 +147,8 @@
     return count;
   }
 
-  /// Every node learns every record, as anti-entropy would bring it about.
-  void spreadRecords() {
+  /// Gives the newest record to every node, as anti-entropy would do.
+  void propagateNewestRecord() {
     AcceptanceRecord newest;
     for (const auto& [id, node] : nodes) {
       if (node->holder.record().version > newest.version) {
--- a/tests/distribution/acceptance_messages_test.cpp
+++ b/tests/distribution/acceptance_messages_test.cpp
@@ -22,7 +22,7 @@
           Release{kAttempt}};
 }
 
-TEST_CASE("every acceptance message survives its encoding, in few bytes") {
+TEST_CASE("every acceptance message round-trips through its encoding and is small") {
   for (const AcceptanceMessage& message : samples()) {
     CAPTURE(messageName(message));
     const std::string bytes = encodeAcceptanceMessage(message);
@@ -33,7 +33,8 @@
   }
 }
 
-TEST_CASE("truncated, extended and random bytes are refused") {
+TEST_CASE(
+    "truncated or extended messages are rejected, and corrupt ones fail only with kMalformed") {
   for (const AcceptanceMessage& message : samples()) {
     const std::string bytes = encodeAcceptanceMessage(message);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
--- a/tests/distribution/acceptance_test.cpp
+++ b/tests/distribution/acceptance_test.cpp
@@ -28,7 +28,7 @@
   };
 }
 
-TEST_CASE("a confirmed record is held by several machines of a majority of zones") {
+TEST_CASE("a confirmed record is stored on several machines in a majority of zones") {
   AcceptanceMesh mesh(3, 4);
   const AcceptanceRecord proposed = makeRecord(1, 0);
   const auto outcome = mesh.await(mesh.confirm("a0", proposed));
@@ -37,7 +37,7 @@
   CHECK(mesh.holders(proposed) >= 4);
 }
 
-TEST_CASE("a zone of one machine counts with that machine") {
+TEST_CASE("a zone with a single machine counts towards the majority with that machine") {
   AcceptanceMesh mesh(3, 1);
   CHECK(mesh.await(mesh.confirm("b0", makeRecord(1, 0))).has_value());
 }
@@ -47,7 +47,7 @@
   CHECK(mesh.await(mesh.confirm("a0", makeRecord(1, 0))).has_value());
 }
 
-TEST_CASE("confirming twice is harmless, also at another node") {
+TEST_CASE("confirming the same plan again succeeds, also at another node") {
   AcceptanceMesh mesh(3, 3);
   const AcceptanceRecord proposed = makeRecord(5, 0);
   CHECK(mesh.await(mesh.confirm("a0", proposed)).has_value());
@@ -55,7 +55,7 @@
   CHECK(mesh.await(mesh.confirm("c2", proposed)).has_value());
 }
 
-TEST_CASE("the same plan confirmed twice at once on one node has one outcome") {
+TEST_CASE("concurrent confirmations of the same plan at one node share one outcome") {
   AcceptanceMesh mesh(3, 3);
   const auto first = mesh.confirm("a0", makeRecord(1, 0));
   const auto second = mesh.confirm("a0", makeRecord(1, 0));
@@ -63,7 +63,7 @@
   CHECK(mesh.await(second).has_value());
 }
 
-TEST_CASE("another plan at a busy node is refused at once") {
+TEST_CASE("a node that is confirming a plan refuses another plan immediately") {
   AcceptanceMesh mesh(3, 3);
   const auto first = mesh.confirm("a0", makeRecord(1, 0), "first");
   const auto second = mesh.confirm("a0", makeRecord(2, 0), "second");
@@ -75,13 +75,13 @@
 TEST_CASE("versions that are not newer, and plans on another base, are refused") {
   AcceptanceMesh mesh(3, 3);
   REQUIRE(mesh.await(mesh.confirm("a0", makeRecord(5, 0))).has_value());
-  mesh.spreadRecords();
+  mesh.propagateNewestRecord();
   CHECK(kindOf(mesh.await(mesh.confirm("b1", makeRecord(4, 0)))) == ErrorKind::kVersionRegression);
   CHECK(kindOf(mesh.await(mesh.confirm("b1", makeRecord(6, 3)))) == ErrorKind::kBaseMismatch);
   CHECK(mesh.await(mesh.confirm("b1", makeRecord(6, 5))).has_value());
 }
 
-TEST_CASE("a coordinator that missed the last record is told so and learns it") {
+TEST_CASE("a coordinator with a stale record is refused and learns the newest record") {
   AcceptanceMesh mesh(3, 4);
   REQUIRE(mesh.await(mesh.confirm("a0", makeRecord(5, 0))).has_value());
   AcceptanceNode* behind = nullptr;
@@ -94,13 +94,13 @@
   CHECK(behind->holder.record().version == Version(5));
 }
 
-TEST_CASE("a voter that lags behind learns the base from the prepare") {
+TEST_CASE("a voter with a stale record learns the base from the prepare") {
   AcceptanceMesh mesh(3, 3);
   mesh.node("a0").holder.offer(makeRecord(5, 0));
   CHECK(mesh.await(mesh.confirm("a0", makeRecord(6, 5))).has_value());
 }
 
-TEST_CASE("the small side of a cut is refused at once") {
+TEST_CASE("the minority side of a partition is refused immediately") {
   AcceptanceMesh mesh(3, 3);
   mesh.cut({ZoneId("zone-2")});
   const auto small_side = mesh.confirm("c0", makeRecord(1, 0));
@@ -110,14 +110,15 @@
   CHECK(mesh.await(mesh.confirm("a0", makeRecord(1, 0))).has_value());
 }
 
-TEST_CASE("half of the zones is no majority") {
+TEST_CASE("half of the zones are not a majority") {
   AcceptanceMesh mesh(4, 2);
   mesh.cut({ZoneId("zone-0"), ZoneId("zone-1")});
   CHECK(kindOf(mesh.await(mesh.confirm("a0", makeRecord(1, 0)))) == ErrorKind::kNoQuorum);
   CHECK(kindOf(mesh.await(mesh.confirm("d0", makeRecord(1, 0)))) == ErrorKind::kNoQuorum);
 }
 
-TEST_CASE("a cut that the view does not show is refused in time, and nothing took effect") {
+TEST_CASE(
+    "a confirmation during a partition not yet in the view fails in time and changes nothing") {
   AcceptanceMesh mesh(3, 3);
   mesh.cutSilently({ZoneId("zone-0")});
   const TimePoint start = mesh.time.now();
@@ -129,7 +130,7 @@
   CHECK(mesh.await(mesh.confirm("b0", makeRecord(1, 0))).has_value());
 }
 
-TEST_CASE("a refusal gives the leases back") {
+TEST_CASE("a failed confirmation releases its leases") {
   AcceptanceMesh mesh(3, 3);
   mesh.network.setFilter(dropAll<Granted>());
   CHECK(kindOf(mesh.await(mesh.confirm("a0", makeRecord(1, 0), "first"))) == ErrorKind::kNoQuorum);
@@ -140,7 +141,7 @@
   CHECK(mesh.time.now() - start < 100ms);
 }
 
-TEST_CASE("a coordinator that dies with leases blocks others only for the lease") {
+TEST_CASE("a coordinator that crashes while holding leases blocks others only until they expire") {
   AcceptanceMesh mesh(3, 3);
   mesh.confirm("a0", makeRecord(1, 0), "dead");
   mesh.network.remove(NodeId("a0"));
@@ -151,7 +152,7 @@
   CHECK(mesh.await(mesh.confirm("b0", makeRecord(2, 0), "next")).has_value());
 }
 
-TEST_CASE("lost commit answers give 'unknown', and asking again resolves it") {
+TEST_CASE("lost Committed messages give an unknown outcome, and confirming again resolves it") {
   AcceptanceMesh mesh(3, 3);
   mesh.network.setFilter(dropAll<Committed>());
   CHECK(kindOf(mesh.await(mesh.confirm("a0", makeRecord(1, 0)))) == ErrorKind::kOutcomeUnknown);
@@ -167,7 +168,7 @@
   CHECK(kindOf(mesh.await(mesh.confirm("a0", makeRecord(1, 0)))) == ErrorKind::kOutcomeUnknown);
 }
 
-TEST_CASE("a pause between prepare and commit refuses, and never commits late") {
+TEST_CASE("a pause between prepare and commit fails the plan and never commits it late") {
   AcceptanceMesh mesh(3, 3);
   const auto outcome = mesh.confirm("a0", makeRecord(1, 0));
   mesh.node("a0").environment.pauseFor(8s);
@@ -182,7 +183,7 @@
   CHECK(mesh.holders(makeRecord(1, 0)) == 0);
 }
 
-TEST_CASE("voters that wake from a pause take no old commit") {
+TEST_CASE("voters that resume after a pause reject an old commit") {
   AcceptanceMesh mesh(1, 3);
   const auto outcome = mesh.confirm("a0", makeRecord(1, 0));
   mesh.network.setFilter(dropAll<Commit>());
@@ -194,7 +195,7 @@
   CHECK(kindOf(mesh.await(outcome)) == ErrorKind::kOutcomeUnknown);
 }
 
-TEST_CASE("content that has not arrived yet is waited for, then refused") {
+TEST_CASE("a confirmation waits for missing content and is refused if it does not arrive") {
   AcceptanceMesh mesh(3, 3);
   for (auto& [id, node] : mesh.nodes) {
     node->may_grant = false;
@@ -220,55 +221,58 @@
   CHECK(mesh.await(mesh.confirm("a0", makeRecord(1, 0))).has_value());
 }
 
-/// Follows what operators were told and checks it against the records.
-struct Told {
+/// Outcomes reported to operators, to be checked against the records of the nodes.
+struct ReportedOutcomes {
   std::vector<AcceptanceRecord> accepted;
   std::vector<AcceptanceRecord> refused;
   std::size_t unknown = 0;
 };
 
-void note(Told& told, const AcceptanceRecord& proposed, const Result<AcceptanceRecord>& outcome) {
+void addOutcome(ReportedOutcomes& reported, const AcceptanceRecord& proposed,
+                const Result<AcceptanceRecord>& outcome) {
   if (outcome.has_value()) {
-    told.accepted.push_back(proposed);
+    reported.accepted.push_back(proposed);
   } else if (outcome.error().kind == ErrorKind::kOutcomeUnknown) {
-    ++told.unknown;
+    ++reported.unknown;
   } else {
-    told.refused.push_back(proposed);
+    reported.refused.push_back(proposed);
   }
 }
 
-/// Two records on one base are never both accepted.
-void checkInOrder(const Told& told) {
+/// Checks that no two records with the same base were both accepted.
+void checkOneAcceptedPerBase(const ReportedOutcomes& reported) {
   std::set<Version> bases;
-  for (const AcceptanceRecord& record : told.accepted) {
-    CHECK_MESSAGE(bases.insert(record.base).second, "two accepted on base ", record.base.value());
+  for (const AcceptanceRecord& record : reported.accepted) {
+    CHECK_MESSAGE(bases.insert(record.base).second, "two records accepted with base ",
+                  record.base.value());
   }
 }
 
-TEST_CASE("two operators racing: exactly one is accepted when nothing fails") {
+TEST_CASE("of two concurrent plans with the same base exactly one is accepted when nothing fails") {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     CAPTURE(seed);
     AcceptanceMesh mesh(3, 4, seed);
     const auto first = mesh.confirm("a0", makeRecord(1, 0), "first");
     mesh.time.runFor(Duration(seed * 37 % 4000));
     const auto second = mesh.confirm("b0", makeRecord(2, 0), "second");
-    Told told;
-    note(told, makeRecord(1, 0), mesh.await(first));
-    note(told, makeRecord(2, 0), mesh.await(second));
-    CHECK(told.accepted.size() == 1);
-    CHECK(told.refused.size() == 1);
+    ReportedOutcomes reported;
+    addOutcome(reported, makeRecord(1, 0), mesh.await(first));
+    addOutcome(reported, makeRecord(2, 0), mesh.await(second));
+    CHECK(reported.accepted.size() == 1);
+    CHECK(reported.refused.size() == 1);
     mesh.time.runFor(5s);
-    CHECK(mesh.holders(told.refused.front()) == 0);
+    CHECK(mesh.holders(reported.refused.front()) == 0);
   }
 }
 
-/// One seeded run: races, loss, duplicates, cuts and pauses, over several rounds of versions.
+/// One run with a seed: concurrent plans, message loss, duplicates, partitions and pauses over
+/// several rounds of versions.
 void runFaultySchedule(std::uint64_t seed) {
   CAPTURE(seed);
   std::mt19937_64 random(seed);
   AcceptanceMesh mesh(3 + seed % 2, 3, seed);
   const std::vector<std::string> operators = {"a0", "b1", "c2", "a2"};
-  Told told;
+  ReportedOutcomes reported;
   std::uint64_t version = 0;
   for (int round = 0; round < 6; ++round) {
     mesh.network.setFaults({static_cast<std::uint32_t>(random() % 30),
@@ -290,19 +294,21 @@
     }
     mesh.time.runFor(20s);
     for (const auto& [proposed, outcome] : running) {
-      note(told, proposed, mesh.await(outcome));
+      addOutcome(reported, proposed, mesh.await(outcome));
     }
     mesh.heal();
     mesh.time.runFor(20s);
-    for (const AcceptanceRecord& refused : told.refused) {
-      CHECK_MESSAGE(mesh.holders(refused) == 0, "refused but held: ", refused.version.value());
+    for (const AcceptanceRecord& refused : reported.refused) {
+      CHECK_MESSAGE(mesh.holders(refused) == 0,
+                    "refused but stored on a node: ", refused.version.value());
     }
-    mesh.spreadRecords();
+    mesh.propagateNewestRecord();
   }
-  checkInOrder(told);
+  checkOneAcceptedPerBase(reported);
 }
 
-TEST_CASE("under loss, crossing, cuts and pauses no two plans on a base are both accepted") {
+TEST_CASE(
+    "under loss, reordering, partitions and pauses no two plans with one base are both accepted") {
   for (std::uint64_t seed = 1; seed <= 150; ++seed) {
     runFaultySchedule(seed);
   }
--- a/tests/distribution/acceptance_voter_test.cpp
+++ b/tests/distribution/acceptance_voter_test.cpp
@@ -59,7 +59,7 @@
                                       [](const AcceptanceRecord&) { return true; }};
 };
 
-TEST_CASE_FIXTURE(VoterFixture, "a commit counts only under the lease of its own attempt") {
+TEST_CASE_FIXTURE(VoterFixture, "a commit is accepted only while its own attempt holds the lease") {
   CHECK(refusal(Commit{first, one}) == ErrorKind::kConflict);
   REQUIRE(answers<Granted>(prepare(first, one)));
   CHECK(refusal(Commit{second, one}) == ErrorKind::kConflict);
@@ -69,7 +69,8 @@
   CHECK(holder.record() == one);
 }
 
-TEST_CASE_FIXTURE(VoterFixture, "a repeated commit is answered again, also under a later lease") {
+TEST_CASE_FIXTURE(VoterFixture,
+                  "a retransmitted commit is answered again, also under a later lease") {
   REQUIRE(answers<Granted>(prepare(first, one)));
   REQUIRE(answers<Committed>(Commit{first, one}));
   Prepare next{second, PlanId("next"), makeRecord(2, 1), one, 3s};
@@ -78,28 +79,28 @@
   CHECK(answers<Committed>(Commit{second, makeRecord(2, 1)}));
 }
 
-TEST_CASE_FIXTURE(VoterFixture, "a commit after the end of the lease is refused") {
+TEST_CASE_FIXTURE(VoterFixture, "a commit after the lease has expired is refused") {
   REQUIRE(answers<Granted>(prepare(first, one)));
   time.runFor(3s);
   CHECK(refusal(Commit{first, one}) == ErrorKind::kConflict);
   CHECK(holder.record() == AcceptanceRecord());
 }
 
-TEST_CASE_FIXTURE(VoterFixture, "a commit is refused when the record moved on under the lease") {
+TEST_CASE_FIXTURE(VoterFixture, "a commit is refused if the record has advanced during the lease") {
   REQUIRE(answers<Granted>(prepare(first, two)));
   holder.offer(one);
   CHECK(refusal(Commit{first, two}) == ErrorKind::kBaseMismatch);
   CHECK(holder.record() == one);
 }
 
-TEST_CASE_FIXTURE(VoterFixture, "a prepare that overtook its release grants nothing") {
+TEST_CASE_FIXTURE(VoterFixture, "a prepare that arrives after its release is not granted") {
   CHECK_FALSE(answer(Release{first}).has_value());
   CHECK_FALSE(answer(prepare(first, one)).has_value());
   CHECK(answers<Granted>(prepare(second, two)));
 }
 
 TEST_CASE_FIXTURE(VoterFixture,
-                  "a coordinator's newer try replaces its older lease, not the reverse") {
+                  "a newer attempt of a coordinator replaces its older lease, but not vice versa") {
   const AttemptKey newer{first.coordinator, first.number + 1};
   REQUIRE(answers<Granted>(prepare(first, one)));
   CHECK(answers<Granted>(prepare(newer, one)));
@@ -107,14 +108,15 @@
   CHECK(answers<Committed>(Commit{newer, one}));
 }
 
-TEST_CASE_FIXTURE(VoterFixture, "other content of the base version is refused") {
+TEST_CASE_FIXTURE(VoterFixture,
+                  "a prepare with different content for the base version is refused") {
   holder.offer(makeRecord(1, 0));
   Prepare other = prepare(first, makeRecord(2, 1));
   other.base = AcceptanceRecord{Version(1), Digest::of("something else"), Version(0)};
   CHECK(refusal(other) == ErrorKind::kDigestMismatch);
 }
 
-TEST_CASE("a coordinator that was paused refuses at once what it has not committed") {
+TEST_CASE("a coordinator that was paused immediately fails a plan it has not committed") {
   AcceptanceMesh mesh(3, 3);
   mesh.network.setFilter([](const NodeId&, const NodeId&, const auto&) { return true; });
   const auto outcome = mesh.confirm("a0", makeRecord(1, 0));
--- a/tests/distribution/codec_test.cpp
+++ b/tests/distribution/codec_test.cpp
@@ -26,7 +26,7 @@
   return change;
 }
 
-/// One message of every kind.
+/// Returns one message of every kind.
 std::vector<Message> examples() {
   Summary summary;
   summary.accepted = Version(9);
@@ -57,7 +57,7 @@
 
 }  // namespace
 
-TEST_CASE("every message kind comes back as it was sent") {
+TEST_CASE("every message kind round-trips through its encoding") {
   const std::vector<Message> messages = examples();
   REQUIRE(messages.size() == std::variant_size_v<Message>);
   for (const Message& message : messages) {
@@ -67,9 +67,9 @@
   }
 }
 
-TEST_CASE("a summary is small") { CHECK(encodeMessage(examples().front()).size() < 64); }
+TEST_CASE("an encoded summary is small") { CHECK(encodeMessage(examples().front()).size() < 64); }
 
-TEST_CASE("a truncated or extended message is refused") {
+TEST_CASE("a truncated or extended message is rejected") {
   for (const Message& message : examples()) {
     const std::string bytes = encodeMessage(message);
     for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -98,7 +98,7 @@
   CHECK(decodeMessage(nested).error().kind == ErrorKind::kMalformed);
 }
 
-TEST_CASE("lengths beyond the input are refused before anything is allocated") {
+TEST_CASE("lengths beyond the input are rejected before memory is allocated") {
   for (const std::string_view bytes :
        {std::string_view("\x9b\xff\xff\xff\xff\xff\xff\xff\xff", 9),
         std::string_view("\x82\x04\x5b\x00\x00\x00\x00\xff\xff\xff\xff", 11),
@@ -107,7 +107,7 @@
   }
 }
 
-TEST_CASE("over-limit input is refused as too large") {
+TEST_CASE("input over the size limits is rejected as too large") {
   CHECK(decodeMessage(std::string(kMaxMessageBytes + 1, '\0')).error().kind ==
         ErrorKind::kTooLarge);
   EndpointFetch fetch;
--- a/tests/distribution/content_test.cpp
+++ b/tests/distribution/content_test.cpp
@@ -18,7 +18,7 @@
   return {configuration.version, model::contentDigest(configuration)};
 }
 
-/// A store that holds the versions.
+/// Returns a store that holds these versions.
 ContentStore storeWith(const std::vector<std::uint64_t>& versions) {
   ContentStore store(kLimit);
   for (const std::uint64_t version : versions) {
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-TEST_CASE("a patch is as small as the change") {
+TEST_CASE("the size of a patch is proportional to the change") {
   const std::string base = model::canonicalText(configuration(11, 2000));
   const std::string text = model::canonicalText(configuration(12, 2000));
   const std::string patch = compressPatch(base, text);
@@ -37,7 +37,7 @@
   CHECK(decompressPatch(base, patch, kLimit).value() == text);
 }
 
-TEST_CASE("what expands beyond the limit is refused") {
+TEST_CASE("text that exceeds the limit after decompression is rejected") {
   const std::string compressed = compressText(std::string(kLimit + 1, 'a'));
   CHECK(compressed.size() < 1000);
   CHECK(decompressText(compressed, kLimit).error().kind == ErrorKind::kTooLarge);
@@ -45,7 +45,7 @@
   CHECK(decompressText("", kLimit).error().kind == ErrorKind::kMalformed);
 }
 
-TEST_CASE("whole contents and deltas rebuild the configuration") {
+TEST_CASE("full contents and deltas restore the configuration") {
   ContentStore source = storeWith({1, 2});
   const ContentId first = idOf(configuration(1));
   const ContentId second = idOf(configuration(2));
@@ -55,7 +55,7 @@
   CHECK(*store.find(second) == configuration(2));
 }
 
-TEST_CASE("content of another digest, damaged content and a missing base leave nothing behind") {
+TEST_CASE("a wrong digest, corrupt content or a missing base leaves the store unchanged") {
   ContentStore source = storeWith({1, 2});
   const ContentId first = idOf(configuration(1));
   const ContentId second = idOf(configuration(2));
@@ -68,15 +68,15 @@
     ContentFull copy = damaged;
     copy.compressed[place] = static_cast<char>(copy.compressed[place] ^ 0x55);
     const auto added = store.addFull(first, copy);
-    // A changed byte may leave the text as it is (a checksum-free frame header flag), never
-    // another.
+    // A changed byte may leave the decompressed text intact (an unprotected flag in the frame
+    // header), but must never produce a different text.
     if (added.has_value()) CHECK(**added == configuration(1));
     store.prune(0, {});
   }
   CHECK(store.ids().empty());
 }
 
-TEST_CASE("pruning keeps the protected and the newest") {
+TEST_CASE("pruning keeps the protected and the newest contents") {
   ContentStore store = storeWith({1, 2, 3, 4, 5, 6});
   store.prune(3, {idOf(configuration(1))});
   const std::vector<ContentId> ids = store.ids();
--- a/tests/distribution/endpoint_test.cpp
+++ b/tests/distribution/endpoint_test.cpp
@@ -37,7 +37,7 @@
   return sets;
 }
 
-/// Every node holds exactly the listed servers.
+/// Returns whether every node holds exactly the listed servers.
 bool allHold(Mesh& mesh, const std::vector<model::EndpointSet>& sets) {
   for (const Process* process : mesh.living()) {
     for (const model::EndpointSet& set : sets) {
@@ -75,7 +75,7 @@
   CHECK(store.find(kFontsWest)->endpoints.empty());
 }
 
-TEST_CASE("a change applies to its base only and the newest generation wins") {
+TEST_CASE("a change applies only to its base, and the newest generation wins") {
   EndpointStore reader;
   EndpointStore store;
   const auto first = reader.updateFromList({endpointSet("fonts", kWest, 1, {"a", "b", "c"})});
@@ -91,7 +91,7 @@
   CHECK(*store.find(kFontsWest) == *reader.find(kFontsWest));
 }
 
-TEST_CASE("a reader with a newer list overrules a change it had not met") {
+TEST_CASE("a reader with a newer list overrides a stale change it has not seen before") {
   EndpointStore other;
   other.updateFromList({endpointSet("fonts", kWest, 1, {"a"})});
   const auto flapped = other.updateFromList({endpointSet("fonts", kWest, 2, {"b"})});
@@ -106,7 +106,7 @@
   CHECK(other.checksum() == reader.checksum());
 }
 
-TEST_CASE("endpoint changes reach every node quickly without any configuration") {
+TEST_CASE("endpoint changes reach every node quickly even without a configuration") {
   Mesh mesh(3, 20, 3);
   const auto first = machineList(mesh, "");
   mesh.publishMachines(first);
@@ -116,7 +116,7 @@
   CHECK(mesh.runUntil([&] { return allHold(mesh, second); }, milliseconds(1100)));
 }
 
-TEST_CASE("lost endpoint changes are repaired, also in a zone that was cut off") {
+TEST_CASE("lost endpoint changes are repaired, also in a zone that was partitioned") {
   Mesh mesh(3, 10, 3);
   mesh.publish(1);
   REQUIRE(mesh.runUntil([&] { return mesh.allInForce(1); }, seconds(20)));
@@ -130,7 +130,7 @@
   CHECK(mesh.runUntil([&] { return allHold(mesh, sets); }, seconds(6)));
 }
 
-TEST_CASE("endpoint churn costs few bytes and never blocks a version") {
+TEST_CASE("endpoint churn sends few bytes and does not block a version") {
   Mesh mesh(3, 20, 5);
   mesh.publish(1);
   mesh.publishMachines(machineList(mesh, ""));
--- a/tests/distribution/mesh.cpp
+++ b/tests/distribution/mesh.cpp
@@ -14,7 +14,7 @@
 constexpr Duration kPollInterval = std::chrono::seconds(1);
 constexpr Duration kOwnZoneLatency = std::chrono::microseconds(200);
 constexpr Duration kOtherZoneLatency = std::chrono::microseconds(1500);
-constexpr std::uint64_t kSecretPeriod = 10;
+constexpr std::uint64_t kVersionsPerSecretValue = 10;
 
 std::string padded(std::size_t number) {
   std::string text = std::to_string(number);
@@ -58,7 +58,7 @@
     route.secrets = {{zoneSecret(zone), "Authorization"}};
     configuration.routes[route.name] = route;
     addSecret(document, zoneSecret(zone),
-              "value-" + zone.value() + "-" + std::to_string(version / kSecretPeriod));
+              "value-" + zone.value() + "-" + std::to_string(version / kVersionsPerSecretValue));
   }
   return document;
 }
@@ -72,7 +72,7 @@
 
 void Process::onSnapshot(model::SnapshotPointer next) {
   if (snapshot) {
-    // Never back to an older version.
+    // A process must never return to an older version.
     CHECK(next->version > snapshot->version);
   }
   mesh.checkSnapshot(*this, *next);
@@ -95,8 +95,9 @@
   bytes_sent += bytes.size();
   const bool full = std::holds_alternative<ContentFull>(message);
   if (full) ++full_contents_sent;
-  const bool foreign = to.value().substr(0, 2) != id.value().substr(0, 2);
-  if (foreign && (full || std::holds_alternative<ContentDelta>(message))) ++foreign_contents_sent;
+  const bool to_remote_zone = to.value().substr(0, 2) != id.value().substr(0, 2);
+  if (to_remote_zone && (full || std::holds_alternative<ContentDelta>(message)))
+    ++remote_zone_contents_sent;
   const Result<Message> decoded = decodeMessage(bytes);
   REQUIRE(decoded.has_value());
   mesh.deliver(id, to, *decoded);
@@ -168,8 +169,8 @@
   const TimePoint end = time.now() + duration;
   paused->environment.pauseUntil(std::max(end, paused->environment.pausedUntil()));
   time.schedule(duration, [this, id, paused, end] {
-    const bool same_life = processes.contains(id) && &process(id) == paused;
-    if (same_life && paused->environment.pausedUntil() == end) paused->replica.onPauseDetected();
+    const bool same_process = processes.contains(id) && &process(id) == paused;
+    if (same_process && paused->environment.pausedUntil() == end) paused->replica.onPauseDetected();
   });
 }
 
@@ -254,7 +255,7 @@
 }
 
 void Mesh::checkSnapshot(const Process& process, const model::Snapshot& snapshot) {
-  // Exactly what was published under the version, and whole.
+  // The snapshot must be complete and identical to what was published as this version.
   REQUIRE(published.contains(snapshot.version.value()));
   const model::ConfigurationDocument& document = published.at(snapshot.version.value());
   CHECK(snapshot.digest == digests.at(snapshot.version.value()));
@@ -266,7 +267,7 @@
     }
   }
   Version& greatest = greatest_held[process.id];
-  if (snapshot.version < greatest) ++regressions_across_lives;
+  if (snapshot.version < greatest) ++regressions_across_restarts;
   greatest = std::max(greatest, snapshot.version);
 }
 
@@ -316,7 +317,7 @@
     seen.node_count = seen.members.size();
     seen.reachable = seen.reachable && !seen.members.empty();
     if (zone == view.own_zone) continue;
-    // Other zones name a few contacts: those with roles.
+    // Of other zones, the view contains only a few contacts: the members with roles.
     std::set<NodeId> contacts;
     for (const auto& member : membership::distributorsOf(view, zone)) contacts.insert(member.id);
     for (const auto& member : membership::votersOf(view, zone)) contacts.insert(member.id);
--- a/tests/distribution/mesh.h
+++ b/tests/distribution/mesh.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A mesh of Replicas on an in-memory network with faults, and the promises checked on every step.
+/// A mesh of Replicas on an in-memory network with fault injection. Checks the invariants of the
+/// protocol at every step.
 
 #include <cstdint>
 #include <map>
@@ -16,14 +17,14 @@
 
 namespace coursepond::distribution::testing {
 
-/// Documents as a platform would publish them.
+/// Size of the documents that the simulated platform publishes.
 struct DocumentShape {
   std::size_t routes = 20;
   std::vector<ZoneId> zones;  ///< Each zone has one route and one secret of its own.
 };
 
-/// Version `version` differs from others in one route's timeout and in the zones' secrets' values
-/// every tenth version.
+/// Returns the document of a version. Versions differ in the timeout of one route; every tenth
+/// version also changes the values of the zones' secrets.
 model::ConfigurationDocument makeDocument(std::uint64_t version, const DocumentShape& shape);
 SecretName zoneSecret(const ZoneId& zone);
 
@@ -35,7 +36,7 @@
 
 class Mesh;
 
-/// One node's process; a new one after each restart.
+/// The process of one node. A restart creates a new one.
 class Process final : public ReplicaObserver, public MessageSender<Message> {
  public:
   Process(Mesh& mesh, NodeId id, ZoneId zone, std::uint64_t seed);
@@ -57,7 +58,7 @@
   std::vector<ErrorKind> rejected;
   std::uint64_t bytes_sent = 0;
   std::uint64_t full_contents_sent = 0;
-  std::uint64_t foreign_contents_sent = 0;  ///< Contents and deltas sent to another zone.
+  std::uint64_t remote_zone_contents_sent = 0;  ///< Contents and deltas sent to another zone.
   bool platform_readable = true;
 };
 
@@ -65,9 +66,9 @@
  public:
   Mesh(std::size_t zones, std::size_t nodes_per_zone, std::uint64_t seed, Settings settings = {});
 
-  // The world.
+  // Control of the simulation.
   void runFor(Duration duration) { time.runFor(duration); }
-  /// Runs until `done` holds, at most for `limit`; true when it held.
+  /// Runs until `done` returns true, but at most for `limit`. Returns the last result of `done`.
   template <typename Condition>
   bool runUntil(Condition done, Duration limit) {
     const TimePoint end = time.now() + limit;
@@ -75,10 +76,11 @@
     return done();
   }
 
-  /// The platform publishes a version; source readers read it within a second.
+  /// Publishes a version on the platform. Source readers read it within a second.
   void publish(std::uint64_t version);
   void publishMachines(std::vector<model::EndpointSet> sets);
-  /// What a confirmed plan does: the voters of every zone reachable from `from` get the record.
+  /// Simulates a confirmed plan: sends the record to the voters of every zone reachable from
+  /// `from`.
   void accept(std::uint64_t version, const NodeId& from);
   void accept(std::uint64_t version) { accept(version, anyNode()); }
 
@@ -88,7 +90,7 @@
   void cut(const ZoneId& zone, bool is_cut);
   void setPlatformReadable(bool readable) { platform_readable = readable; }
 
-  // Looking.
+  // Inspection.
   std::vector<NodeId> ids() const;
   std::vector<Process*> living();
   Process& process(const NodeId& id) { return *processes.at(id); }
@@ -111,14 +113,15 @@
   NetworkFaults faults;
   DocumentShape shape;
   std::map<std::uint64_t, model::ConfigurationDocument> published;
-  std::map<std::uint64_t, Digest> digests;               ///< Of the published ones.
-  std::map<NodeId, std::unique_ptr<Process>> processes;  ///< Living ones.
+  std::map<std::uint64_t, Digest> digests;               ///< Digests of the published versions.
+  std::map<NodeId, std::unique_ptr<Process>> processes;  ///< Running processes.
   std::uint64_t documents_read = 0;
   bool platform_readable = true;
-  bool several_secrets = false;  ///< A zone's secrets have its secret's name as their beginning.
-  /// The greatest version each node id ever held, in any of its lives.
+  bool several_secrets =
+      false;  ///< A zone may have several secrets; their names start with zoneSecret().
+  /// The greatest version each node ever had in force, across restarts.
   std::map<NodeId, Version> greatest_held;
-  std::uint64_t regressions_across_lives = 0;
+  std::uint64_t regressions_across_restarts = 0;
 
  private:
   struct Machine {
--- a/tests/distribution/property_test.cpp
+++ b/tests/distribution/property_test.cpp
@@ -1,4 +1,5 @@
-// Random fault schedules: versions never go back and the mesh converges once everything is healed.
+// Random fault schedules: versions never regress, and the mesh converges once all faults are
+// healed.
 
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
@@ -16,7 +17,7 @@
 
 struct Fault {
   FaultKind kind = FaultKind::kPublish;
-  std::uint32_t choice = 0;  ///< Which node, zone or version, modulo their number.
+  std::uint32_t choice = 0;  ///< Selects a node, zone or version, modulo their number.
   std::uint32_t wait_ms = 0;
 };
 
@@ -53,10 +54,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// The same cases in every run, unless RC_PARAMS names others.
+/// Fixed seed, so that every run uses the same cases unless RC_PARAMS is set.
 const int kFixedSeed = setenv("RC_PARAMS", "seed=20240611", 0);
 
-/// Applies faults to a mesh of 3 zones with 4 nodes each, and heals it.
+/// Applies faults to a mesh of 3 zones with 4 nodes each, and heals them.
 class FaultRun {
  public:
   explicit FaultRun(std::uint64_t seed) : mesh_(3, 4, seed) {
@@ -110,7 +111,7 @@
     }
   }
 
-  /// Every node has the greatest accepted version in force.
+  /// Returns whether every node has the greatest accepted version in force.
   bool converged() {
     Version greatest;
     for (const Process* process : mesh_.living()) {
@@ -122,8 +123,8 @@
   Mesh& mesh() { return mesh_; }
 
  private:
-  /// As an operator does: only above what the confirming node knows as accepted, and only when its
-  /// side of the mesh is the greater one.
+  /// Accepts a version as an operator would: only if it is greater than the version that the
+  /// confirming node knows as accepted.
   void accept(std::uint64_t version, const NodeId& from) {
     if (!mesh_.processes.contains(from)) return;
     if (mesh_.process(from).replica.record().version >= Version(version)) return;
@@ -136,8 +137,8 @@
 
 }  // namespace
 
-TEST_CASE("after any faults the mesh converges once healed and no process went back") {
-  // Process::onSnapshot and Mesh::checkSnapshot check every snapshot on the way.
+TEST_CASE("after any sequence of faults the mesh converges once healed, and no process regresses") {
+  // Process::onSnapshot and Mesh::checkSnapshot check every snapshot during the run.
   REQUIRE(kFixedSeed == 0);
   const bool holds = rc::check([](const std::vector<Fault>& faults) {
     FaultRun run(*rc::gen::inRange<std::uint64_t>(1, 1000000));
--- a/tests/distribution/replica_test.cpp
+++ b/tests/distribution/replica_test.cpp
@@ -14,7 +14,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A mesh with version 1 in force everywhere.
+/// Returns a mesh with version 1 in force on every node.
 std::unique_ptr<Mesh> meshInForce(std::size_t zones, std::size_t nodes_per_zone,
                                   Settings settings = {}) {
   auto mesh = std::make_unique<Mesh>(zones, nodes_per_zone, 7, std::move(settings));
@@ -43,7 +43,7 @@
   CHECK(mesh.documents_read <= 2);
 }
 
-TEST_CASE("a published version is staged everywhere and waits for its acceptance") {
+TEST_CASE("a published version is staged on every node and is not in force before it is accepted") {
   auto mesh = meshInForce(3, 20);
   mesh->publish(2);
   const auto staged = [&] {
@@ -64,12 +64,13 @@
   }
 }
 
-TEST_CASE("a change travels as deltas and crosses to each zone a few times only") {
+TEST_CASE("a change is sent as deltas and is transferred to each zone only a few times") {
   auto mesh = meshInForce(3, 20);
   mesh->runFor(seconds(5));
   const std::uint64_t full_before = sumOverNodes(*mesh, &ReplicaStatistics::full_contents_received);
-  std::uint64_t foreign_before = 0;
-  for (const Process* process : mesh->living()) foreign_before += process->foreign_contents_sent;
+  std::uint64_t to_remote_zone_before = 0;
+  for (const Process* process : mesh->living())
+    to_remote_zone_before += process->remote_zone_contents_sent;
 
   mesh->publish(2);
   mesh->runFor(seconds(3));
@@ -77,12 +78,13 @@
   REQUIRE(mesh->runUntil([&] { return mesh->allInForce(2); }, seconds(2)));
 
   CHECK(sumOverNodes(*mesh, &ReplicaStatistics::full_contents_received) == full_before);
-  std::uint64_t foreign = 0;
-  for (const Process* process : mesh->living()) foreign += process->foreign_contents_sent;
-  CHECK(foreign - foreign_before <= 2 * 3);
+  std::uint64_t to_remote_zone = 0;
+  for (const Process* process : mesh->living())
+    to_remote_zone += process->remote_zone_contents_sent;
+  CHECK(to_remote_zone - to_remote_zone_before <= 2 * 3);
 }
 
-TEST_CASE("one change and idling cost few bytes per node") {
+TEST_CASE("a change and an idle mesh send few bytes per node") {
   auto mesh = meshInForce(3, 30);
   mesh->runFor(seconds(20));
   const std::uint64_t nodes = mesh->living().size();
@@ -110,7 +112,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(2); }, seconds(3)));
 }
 
-TEST_CASE("lost, doubled and overtaking messages delay nothing for long") {
+TEST_CASE("lost, duplicated and reordered messages delay a version only briefly") {
   auto mesh = meshInForce(3, 20);
   mesh->faults = {0.2, 0.2, milliseconds(50)};
   for (std::uint64_t version = 2; version <= 6; ++version) {
@@ -121,7 +123,7 @@
   }
 }
 
-TEST_CASE("nodes that fetched in vain for long have the content soon after the loss ends") {
+TEST_CASE("nodes whose fetches failed for a long time get the content soon after the loss ends") {
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     CAPTURE(seed);
     Mesh mesh(3, 6, seed);
@@ -144,7 +146,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(2); }, seconds(5)));
 }
 
-TEST_CASE("a restarted node hears of the accepted version before it is ready") {
+TEST_CASE("a restarted node learns the accepted version before it is ready") {
   auto mesh = meshInForce(3, 10);
   mesh->publish(2);
   mesh->runFor(seconds(2));
@@ -157,12 +159,14 @@
   CHECK(mesh->process(id).snapshot->version == Version(2));
 }
 
-TEST_CASE("a witness that lags does not take a restarted node back") {
+TEST_CASE("a stale witness does not make a restarted node apply an older version") {
   auto mesh = meshInForce(3, 6);
   const ZoneId zone = mesh->zoneIds()[0];
   mesh->publish(2);
   mesh->runFor(seconds(3));
-  // Version 2 goes to the other zones only; one node of the cut zone had met it before it died.
+  // Version 2 is accepted only in the other zones while this zone is partitioned. The restarted
+  // node may have had version 2 in force before, so it must not apply version 1, which its
+  // neighbours still have in force.
   mesh->cut(zone, true);
   mesh->accept(2, NodeId("z1-000"));
   mesh->runFor(seconds(3));
@@ -174,7 +178,7 @@
   CHECK(mesh->process(id).snapshot->version == Version(2));
 }
 
-TEST_CASE("one survivor brings the accepted version back, newer published ones notwithstanding") {
+TEST_CASE("one surviving node restores the accepted version although a newer one is published") {
   auto mesh = meshInForce(3, 8);
   mesh->publish(2);
   mesh->runFor(seconds(2));
@@ -189,7 +193,7 @@
   CHECK(mesh->adoptions() == 0);
 }
 
-TEST_CASE("a reader that has the published content from another reader adopts in its place") {
+TEST_CASE("a reader that got the published content from a failed reader adopts it in its place") {
   Mesh mesh(3, 6, 11);
   mesh.publish(1);
   mesh.runFor(seconds(4));
@@ -198,9 +202,9 @@
   CHECK(mesh.runUntil([&] { return mesh.allInForce(1); }, seconds(20)));
 }
 
-TEST_CASE("secret values lost with all their holders are read from the platform again") {
+TEST_CASE("secret values lost with all nodes that held them are read from the platform again") {
   auto mesh = meshInForce(3, 6);
-  mesh->runFor(seconds(70));  // the stager forgets the other zones' values
+  mesh->runFor(seconds(70));  // The node that staged the document drops the other zones' values.
   const ZoneId lost = mesh->zoneIds()[2];
   for (const NodeId& id : mesh->ids()) {
     if (mesh->process(id).zone == lost) mesh->restart(id);
@@ -210,7 +214,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(1); }, seconds(20)));
 }
 
-TEST_CASE("everything lost while the platform is away: nothing is in force until it is back") {
+TEST_CASE("if all nodes restart while the platform is down, nothing is in force until it is back") {
   auto mesh = meshInForce(3, 6);
   mesh->setPlatformReadable(false);
   for (const NodeId& id : mesh->ids()) mesh->restart(id);
@@ -220,7 +224,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(1); }, seconds(15)));
 }
 
-TEST_CASE("a cut-off zone of new nodes does not adopt while others may be witnesses") {
+TEST_CASE("a partitioned zone of new nodes does not adopt while other zones may have witnesses") {
   auto mesh = meshInForce(3, 6);
   const ZoneId zone = mesh->zoneIds()[0];
   mesh->publish(2);
@@ -230,13 +234,13 @@
     if (mesh->process(id).zone == zone) mesh->restart(id);
   }
   mesh->runFor(seconds(60));
-  CHECK(mesh->adoptions() <= 2);  // those of the very first start
+  CHECK(mesh->adoptions() <= 2);  // Adoptions of the initial start.
   CHECK_FALSE(mesh->process(NodeId("z0-000")).replica.ready());
   mesh->cut(zone, false);
   REQUIRE(mesh->runUntil([&] { return mesh->allInForce(1); }, seconds(10)));
 }
 
-TEST_CASE("a zone that was cut off catches up when it is back") {
+TEST_CASE("a partitioned zone catches up once it is reconnected") {
   auto mesh = meshInForce(4, 10);
   const ZoneId zone = mesh->zoneIds()[3];
   mesh->cut(zone, true);
@@ -249,7 +253,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(2); }, seconds(5)));
 }
 
-TEST_CASE("paused distributors and readers wake up late and take nothing back") {
+TEST_CASE("distributors and readers that resume after a pause do not revert newer versions") {
   auto mesh = meshInForce(3, 10);
   std::set<NodeId> paused;
   for (const NodeId& id : mesh->readers()) paused.insert(id);
@@ -266,7 +270,7 @@
   CHECK(mesh->runUntil([&] { return mesh->allInForce(3); }, seconds(5)));
 }
 
-TEST_CASE("content that differs from its digest is refused and never in force") {
+TEST_CASE("content that does not match its digest is rejected and never in force") {
   auto mesh = meshInForce(2, 3);
   mesh->publish(2);
   mesh->publish(3);
@@ -276,14 +280,14 @@
   victim.replica.offer(record);
   mesh->runFor(seconds(5));
   CHECK(victim.snapshot->version == Version(1));
-  // A document that is not what was accepted under its version.
+  // A document that differs from the content accepted as this version.
   victim.replica.stage(mesh->published.at(3));
   REQUIRE_FALSE(victim.rejected.empty());
   CHECK(victim.rejected.back() == ErrorKind::kDigestMismatch);
   CHECK(victim.snapshot->version == Version(1));
 }
 
-TEST_CASE("an older document than the accepted one is refused") {
+TEST_CASE("a document older than the accepted version is rejected") {
   auto mesh = meshInForce(2, 3);
   mesh->publish(2);
   mesh->runFor(seconds(2));
@@ -296,7 +300,7 @@
   CHECK(node.replica.record().version == Version(2));
 }
 
-TEST_CASE("content over the size limit is refused where it is read") {
+TEST_CASE("content over the size limit is rejected by the node that reads it") {
   Settings settings;
   settings.content_size_limit = 1000;
   Mesh mesh(1, 2, 3, settings);
@@ -309,7 +313,7 @@
   }
 }
 
-TEST_CASE("more secrets than one message takes arrive in several") {
+TEST_CASE("more secrets than fit into one message are sent in several messages") {
   Mesh mesh(2, 2, 3);
   mesh.publish(1);
   model::ConfigurationDocument& document = mesh.published.at(1);
@@ -326,13 +330,13 @@
   CHECK(mesh.runUntil([&] { return mesh.allInForce(1); }, seconds(20)));
 }
 
-TEST_CASE("restarts one at a time never bring a node up with less than it held") {
+TEST_CASE("nodes restarted one at a time never come up with an older version than before") {
   auto mesh = meshInForce(3, 6);
   for (std::uint64_t version = 2; version < 12; ++version) {
     mesh->publish(version);
     mesh->runFor(seconds(2));
     mesh->accept(version);
-    // While the record spreads.
+    // Restart a node while the record is being propagated.
     mesh->runFor(milliseconds(2));
     mesh->restart(mesh->ids()[version % mesh->ids().size()]);
     mesh->runFor(milliseconds(500));
@@ -340,7 +344,7 @@
     mesh->runFor(seconds(2));
   }
   CHECK(mesh->runUntil([&] { return mesh->allInForce(11); }, seconds(5)));
-  CHECK(mesh->regressions_across_lives == 0);
+  CHECK(mesh->regressions_across_restarts == 0);
 }
 
 TEST_CASE("distributors know what every proxy of their zone holds") {
--- a/tests/distribution/virtual_time.h
+++ b/tests/distribution/virtual_time.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A virtual clock and the Environment of one simulated process on it.
+/// A virtual clock, and the Environment of a simulated process that uses it.
 
 #include <cstdint>
 #include <functional>
@@ -12,7 +12,8 @@
 
 namespace coursepond::distribution::testing {
 
-/// Runs callbacks in the order of their time; equal times in the order they were scheduled.
+/// Runs callbacks in the order of their due times, and callbacks with equal due times in the order
+/// in which they were scheduled.
 class VirtualTime {
  public:
   TimePoint now() const { return now_; }
@@ -57,7 +58,8 @@
   std::map<TimerId, TimePoint> due_;
 };
 
-/// One process: its timers wait while it is paused and are gone when it dies.
+/// Environment of one process. Its timers are deferred while the process is paused, and cancelled
+/// when it is destroyed.
 class ProcessEnvironment final : public Environment {
  public:
   ProcessEnvironment(VirtualTime& time, std::uint64_t seed) : time_(time), engine_(seed) {}
