--- a/src/distribution/acceptance_voter.cpp
+++ b/src/distribution/acceptance_voter.cpp
@@ -6,10 +6,10 @@
 namespace coursepond::distribution {
 namespace {
 
-/// Attempts remembered in order to recognise repeated and late messages.
+/// Number of attempts remembered to recognise retransmitted and late messages.
 constexpr std::size_t kRememberedAttempts = 16;
-/// The longest lease a voter gives, whatever the coordinator's settings say.
-constexpr Duration kLongestLease = std::chrono::seconds(10);
+/// Upper bound for the lease a voter grants, regardless of the coordinator's settings.
+constexpr Duration kMaxLease = std::chrono::seconds(10);
 
 void remember(std::deque<AttemptKey>& attempts, const AttemptKey& attempt) {
   attempts.push_back(attempt);
@@ -25,10 +25,10 @@
 }  // namespace
 
 AcceptanceVoter::AcceptanceVoter(Environment& environment, MessageSender<AcceptanceMessage>& sender,
-                                 RecordHolder& holder, GrantCheck may_grant)
+                                 AcceptanceRecordStore& record_store, GrantCheck may_grant)
     : environment_(environment),
       sender_(sender),
-      holder_(holder),
+      record_store_(record_store),
       may_grant_(std::move(may_grant)) {}
 
 void AcceptanceVoter::onMessage(const NodeId& from, const AcceptanceMessage& message) {
@@ -48,19 +48,19 @@
     return;
   }
   if (prepare.base.version > Version()) {
-    holder_.offer(prepare.base);
+    record_store_.offer(prepare.base);
   }
   if (const auto refusal = refusalOf(prepare)) {
     sender_.send(from, *refusal);
     return;
   }
-  const Duration length = std::min(prepare.lease, kLongestLease);
+  const Duration length = std::min(prepare.lease, kMaxLease);
   lease_ = Lease{prepare.attempt, prepare, environment_.now() + length};
-  sender_.send(from, Granted{prepare.attempt, holder_.record()});
+  sender_.send(from, Granted{prepare.attempt, record_store_.record()});
 }
 
 std::optional<Refused> AcceptanceVoter::refusalOf(const Prepare& prepare) const {
-  const AcceptanceRecord& record = holder_.record();
+  const AcceptanceRecord& record = record_store_.record();
   if (!(record == prepare.proposed)) {
     if (record.version != prepare.proposed.base || record.version >= prepare.proposed.version) {
       return makeRefusal(prepare.attempt, ErrorKind::kBaseMismatch);
@@ -69,7 +69,7 @@
       return makeRefusal(prepare.attempt, ErrorKind::kDigestMismatch);
     }
   }
-  if (leaseLive() && !mayReplaceLease(prepare.attempt)) {
+  if (hasActiveLease() && !mayReplaceLease(prepare.attempt)) {
     return makeRefusal(prepare.attempt, ErrorKind::kConflict);
   }
   if (!may_grant_(prepare.proposed)) {
@@ -83,18 +83,19 @@
     sender_.send(from, Committed{commit.attempt});
     return;
   }
-  if (!holdsLease(commit.attempt) || !leaseLive() || !(lease_->prepare.proposed == commit.record)) {
+  if (!holdsLease(commit.attempt) || !hasActiveLease() ||
+      !(lease_->prepare.proposed == commit.record)) {
     sender_.send(from, makeRefusal(commit.attempt, ErrorKind::kConflict));
     return;
   }
-  const AcceptanceRecord& record = holder_.record();
+  const AcceptanceRecord& record = record_store_.record();
   if (record.version != commit.record.base && !(record == commit.record)) {
     sender_.send(from, makeRefusal(commit.attempt, ErrorKind::kBaseMismatch));
     return;
   }
   lease_.reset();
   remember(committed_, commit.attempt);
-  holder_.offer(commit.record);
+  record_store_.offer(commit.record);
   sender_.send(from, Committed{commit.attempt});
 }
 
@@ -114,7 +115,7 @@
          lease_->attempt.number <= attempt.number;
 }
 
-bool AcceptanceVoter::leaseLive() const {
+bool AcceptanceVoter::hasActiveLease() const {
   return lease_.has_value() && environment_.now() < lease_->expires;
 }
 
@@ -122,8 +123,8 @@
   Refused refusal;
   refusal.attempt = attempt;
   refusal.kind = kind;
-  refusal.holder = leaseLive() ? lease_->prepare.plan : PlanId();
-  refusal.record = holder_.record();
+  refusal.holder = hasActiveLease() ? lease_->prepare.plan : PlanId();
+  refusal.record = record_store_.record();
   return refusal;
 }
 
--- a/tests/distribution/acceptance_mesh.h
+++ b/tests/distribution/acceptance_mesh.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Nodes that hold nothing but a record, a voter and a coordinator, on a virtual network.
+/// A mesh of nodes on a virtual network, each with only a record, a voter and a coordinator.
 
 #include <map>
 #include <memory>
@@ -21,8 +21,8 @@
                           Version(base)};
 }
 
-/// A record that only goes forward.
-class TestHolder final : public distribution::RecordHolder {
+/// Holds a record that never regresses.
+class TestRecordStore final : public distribution::AcceptanceRecordStore {
  public:
   const AcceptanceRecord& record() const override { return record_; }
   bool offer(const AcceptanceRecord& record) override {
@@ -44,8 +44,9 @@
         zone(std::move(zone)),
         environment(time, seed),
         sender(network.senderOf(id)),
-        voter(environment, *sender, holder, [this](const AcceptanceRecord&) { return may_grant; }),
-        coordinator(id, environment, *sender, holder, {}) {
+        voter(environment, *sender, record_store,
+              [this](const AcceptanceRecord&) { return may_grant; }),
+        coordinator(id, environment, *sender, record_store, {}) {
     network.add(id, environment, [this](const NodeId& from, const AcceptanceMessage& message) {
       voter.onMessage(from, message);
       coordinator.onMessage(from, message);
@@ -57,12 +58,12 @@
   bool may_grant = true;
   VirtualEnvironment environment;
   std::unique_ptr<MessageSender<AcceptanceMessage>> sender;
-  TestHolder holder;
+  TestRecordStore record_store;
   distribution::AcceptanceVoter voter;
   distribution::AcceptanceCoordinator coordinator;
 };
 
-/// The outcome of a confirmation, once there.
+/// The outcome of a confirmation; empty until it is known.
 using Outcome = std::shared_ptr<std::optional<Result<AcceptanceRecord>>>;
 
 class AcceptanceMesh {
@@ -81,7 +82,7 @@
 
   AcceptanceNode& node(const std::string& name) { return *nodes.at(NodeId(name)); }
 
-  /// The mesh as `self` sees it; zones that a cut separates from it are unreachable.
+  /// Returns the view of `self`. Zones separated from it by a partition are unreachable.
   membership::View viewOf(const AcceptanceNode& self) const {
     membership::View view;
     view.self = self.id;
@@ -97,13 +98,13 @@
     return view;
   }
 
-  /// Separates these zones from all others. The view of later confirmations knows.
+  /// Partitions these zones from all others. The views of later confirmations show the partition.
   void cut(std::set<ZoneId> zones) {
     cut_zones = std::move(zones);
     cutSilently(cut_zones);
   }
 
-  /// The same, but views do not know yet.
+  /// The same, but the views do not show the partition.
   void cutSilently(std::set<ZoneId> zones) {
     network.setFilter([this, zones](const NodeId& from, const NodeId& to, const auto&) {
       return zones.contains(nodes.at(from)->zone) != zones.contains(nodes.at(to)->zone);
@@ -121,42 +122,42 @@
     AcceptanceNode& self = node(at);
     self.coordinator.confirm(PlanId(plan), proposed, viewOf(self), [outcome](auto result) {
       if (outcome->has_value()) {
-        throw std::logic_error("called back twice");
+        throw std::logic_error("callback invoked twice");
       }
       *outcome = std::move(result);
     });
     return outcome;
   }
 
-  /// Waits for the outcome.
+  /// Runs the virtual time until the outcome is known and returns it.
   Result<AcceptanceRecord> await(const Outcome& outcome) {
-    const bool told =
+    const bool finished =
         time.runUntilTrue([&] { return outcome->has_value(); }, std::chrono::seconds(10));
-    if (!told) {
+    if (!finished) {
       throw std::logic_error("no outcome within ten seconds");
     }
     return outcome->value();
   }
 
-  /// Nodes that hold the record or a later one.
+  /// Returns the number of nodes that hold exactly this record.
   std::size_t holders(const AcceptanceRecord& record) const {
     std::size_t count = 0;
     for (const auto& [id, node] : nodes) {
-      count += node->holder.record() == record ? 1 : 0;
+      count += node->record_store.record() == record ? 1 : 0;
     }
     return count;
   }
 
-  /// Every node learns every record, as anti-entropy would bring it about.
-  void spreadRecords() {
+  /// Gives the newest record to every node, as anti-entropy would do.
+  void propagateNewestRecord() {
     AcceptanceRecord newest;
     for (const auto& [id, node] : nodes) {
-      if (node->holder.record().version > newest.version) {
-        newest = node->holder.record();
+      if (node->record_store.record().version > newest.version) {
+        newest = node->record_store.record();
       }
     }
     for (const auto& [id, node] : nodes) {
-      node->holder.offer(newest);
+      node->record_store.offer(newest);
     }
   }
 
