--- a/src/cli/request_story.cpp
+++ b/src/cli/request_story.cpp
@@ -64,7 +64,7 @@
     ReasonText{"unknown_api_key", "it needs an API key, and has none that belongs to a tenant",
                "version and version_age_ms: did a recent version add or remove the key?"},
     ReasonText{"unknown_parent",
-               "it has no API key, and the request that it is a call of is unknown",
+               "it has no API key, and the request that it was made for is unknown",
                "harmless if that request was given up: caller_gone and started lines of the node"},
     ReasonText{
         "quota_exceeded", "its tenant has used up its quota",
@@ -82,7 +82,7 @@
                "a repeat was refused: the retry budget of a service that it calls is used up",
                "retry_budget lines of the called service: repeats, calls_of_repeats and left"},
     ReasonText{"other_instance", "another instance of the server has the address",
-               "harmless: the request is sent again for that instance"},
+               "harmless: it is sent again, addressed to that instance"},
     ReasonText{"answer_lost", "no further server was tried after an answer was lost",
                kRetryBudgetHint},
     ReasonText{"ingress_silent", "no further server was tried after an ingress was silent",
