--- a/src/model/codec.cpp
+++ b/src/model/codec.cpp
@@ -13,9 +13,9 @@
 const std::vector<std::string_view> kPriorityNames = {"interactive", "batch"};
 const std::vector<std::string_view> kRepeatabilityNames = {"by_method", "always", "never"};
 
-/// Upper bound for the number of keys of a route object.
+/// Number of keys for which a route object reserves memory.
 constexpr std::size_t kRouteKeys = 17;
-/// Upper bound for the number of keys of a tenant object.
+/// Number of keys for which a tenant object reserves memory.
 constexpr std::size_t kTenantKeys = 6;
 
 constexpr NumberRange kTimeoutRange{1, 3'600'000};
