--- a/bench/data_path/cold_server.h
+++ b/bench/data_path/cold_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A server that is slow and weak for a while after its start, as its machine sees it.
+/// Model of a server that is slow after a start and crashes when it receives too many requests.
 
 #include <cstddef>
 #include <deque>
@@ -9,13 +9,14 @@
 
 namespace coursepond::data_path {
 
-/// How the servers of a fleet start.
+/// Parameters of a cold start, shared by all servers of a fleet.
 struct ColdShape {
-  Duration warm_up{};    ///< Cold for so long after a start.
-  double slowness = 2;   ///< Work takes this many times as long while cold.
-  double rate = 0;       ///< Requests a second that a cold server bears for long,
-  std::size_t most = 0;  ///< and the most in any second: at more it crashes. Zero: never.
-  Duration down_for{};   ///< After a crash; then it starts cold.
+  Duration warm_up{};               ///< Time after a start during which a server is cold.
+  double slowness = 2;              ///< Factor on the service time of a cold server.
+  double sustained_per_second = 0;  ///< Requests per second that a cold server can sustain.
+  /// A cold server crashes when it receives more than this within a second. Zero: never.
+  std::size_t peak_per_second = 0;
+  Duration down_for{};  ///< Time from a crash to the next (cold) start.
 };
 
 class ColdServer {
@@ -23,14 +24,16 @@
   void start(const ColdShape& shape, TimePoint now) { cold_until_ = now + shape.warm_up; }
   bool isDown(TimePoint now) const { return now < down_until_; }
   bool isCold(TimePoint now) const { return now < cold_until_; }
-  Duration coldLeft(TimePoint now) const { return isCold(now) ? cold_until_ - now : Duration(0); }
-  /// A request or a question for its health arrives. False when it was one too many: all that runs
-  /// there is lost, and it is down.
-  bool takes(const ColdShape& shape, TimePoint now) {
-    if (shape.most == 0) return true;
+  Duration remainingColdTime(TimePoint now) const {
+    return isCold(now) ? cold_until_ - now : Duration(0);
+  }
+  /// Records the arrival of a request or health probe. Returns false if this arrival crashes the
+  /// server: it is then down, and all requests running on it are lost.
+  bool tryAccept(const ColdShape& shape, TimePoint now) {
+    if (shape.peak_per_second == 0) return true;
     arrivals_.push_back(now);
     while (now - arrivals_.front() >= std::chrono::seconds(1)) arrivals_.pop_front();
-    if (!isCold(now) || arrivals_.size() <= shape.most) return true;
+    if (!isCold(now) || arrivals_.size() <= shape.peak_per_second) return true;
     down_until_ = now + shape.down_for;
     start(shape, down_until_);
     arrivals_.clear();
@@ -40,7 +43,7 @@
  private:
   TimePoint cold_until_;
   TimePoint down_until_;
-  std::deque<TimePoint> arrivals_;  ///< Of the last second.
+  std::deque<TimePoint> arrivals_;  ///< Arrivals in the last second.
 };
 
 }  // namespace coursepond::data_path
--- a/bench/data_path/experiment.cpp
+++ b/bench/data_path/experiment.cpp
@@ -9,7 +9,7 @@
 
 constexpr Duration kWarmUp = std::chrono::seconds(5);
 constexpr Duration kMeasured = std::chrono::seconds(15);
-/// Requests that arrived last get their answers.
+/// Time for the answers to the last measured requests to arrive.
 constexpr Duration kTail = std::chrono::seconds(2);
 constexpr std::uint64_t kSeedsPerRun = 1000;
 
@@ -31,16 +31,16 @@
 
 double capacityPerSecond(const Scenario& scenario) {
   const ServerShape shape;
-  // A slot stays empty from an answer until the next request arrives, one round trip.
-  const Duration mean = shape.shortest_service + shape.mean_beyond_shortest + kRoundTrip;
+  // After an answer, a slot stays idle for one round trip until the next request arrives.
+  const Duration mean = shape.min_service_time + shape.mean_extra_time + kRoundTrip;
   const double per_slot = 1.0 / std::chrono::duration<double>(mean).count();
   return per_slot * shape.slots * static_cast<double>(scenario.servers);
 }
 
-double loadPart(const Scenario& scenario, std::size_t node) {
-  if (scenario.busiest_node_part <= 0) return 1.0 / static_cast<double>(scenario.nodes);
-  if (node == 0) return scenario.busiest_node_part;
-  return (1.0 - scenario.busiest_node_part) / static_cast<double>(scenario.nodes - 1);
+double loadFraction(const Scenario& scenario, std::size_t node) {
+  if (scenario.busiest_node_fraction <= 0) return 1.0 / static_cast<double>(scenario.nodes);
+  if (node == 0) return scenario.busiest_node_fraction;
+  return (1.0 - scenario.busiest_node_fraction) / static_cast<double>(scenario.nodes - 1);
 }
 
 double quantileMs(const std::vector<Duration>& sorted, double quantile) {
@@ -57,7 +57,7 @@
 
   void add(const LoadedNode& node) {
     const CallerView& seen = node.view();
-    view.asked += seen.asked;
+    view.sent += seen.sent;
     view.answered += seen.answered;
     view.not_run += seen.not_run;
     view.unknown += seen.unknown;
@@ -93,9 +93,9 @@
   outcome.p50_ms = quantileMs(view.latencies, 0.5);
   outcome.p99_ms = quantileMs(view.latencies, 0.99);
   outcome.goodput = static_cast<double>(view.answered) / seconds;
-  outcome.offered = static_cast<double>(view.asked) / seconds;
-  outcome.not_run = part(view.not_run, view.asked);
-  outcome.unknown = part(view.unknown, view.asked);
+  outcome.offered = static_cast<double>(view.sent) / seconds;
+  outcome.not_run = part(view.not_run, view.sent);
+  outcome.unknown = part(view.unknown, view.sent);
   outcome.attempts = part(totals.attempts, totals.requests);
   outcome.refusals = part(totals.refusals, totals.requests);
   outcome.worst_second = worstSecond(view);
@@ -120,14 +120,14 @@
   for (std::size_t index = 0; index < scenario.nodes; ++index) {
     nodes.push_back(std::make_unique<LoadedNode>(
         time, first_seed + 100 + 10 * index, policy.settings, snapshot, scenario.nodes, servers));
-    const double rate = scenario.load * capacityPerSecond(scenario) * loadPart(scenario, index);
+    const double rate = scenario.load * capacityPerSecond(scenario) * loadFraction(scenario, index);
     nodes.back()->beginLoad(rate, scenario.deadline);
   }
 
   time.runUntil(kWarmUp);
   for (const auto& node : nodes) node->beginMeasuring();
   time.runUntil(kWarmUp + kMeasured);
-  // Load goes on, so that the last measured requests meet the same competition.
+  // The load continues, so that the last measured requests compete with as many others.
   for (const auto& node : nodes) node->endMeasuring();
   time.runUntil(kWarmUp + kMeasured + kTail);
 
--- a/bench/data_path/fleet_load.h
+++ b/bench/data_path/fleet_load.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// A load on a fleet of nodes with two hops, and what its callers got.
+/// Simulates the load of callers on a fleet of two-hop nodes (egress and ingress) and reports the
+/// outcome of their requests.
 
 #include <cstdint>
 #include <string>
@@ -18,45 +19,45 @@
   std::string name;
   std::size_t servers = 0;
   std::uint32_t slots = 8;
-  std::vector<double> speeds = {1.0};  ///< Each server draws one.
+  std::vector<double> speeds = {1.0};  ///< Each server gets one of these at random.
 };
 
-/// Requests that a server makes for one of its own.
+/// Calls to another service that a server makes while it runs a request.
 struct CallShape {
   std::string kind;
-  std::uint32_t times = 1;  ///< All at once.
-  double share = 1;         ///< Of the requests, those that make them.
+  std::uint32_t times = 1;  ///< Number of calls, all made in parallel.
+  double share = 1;         ///< Fraction of the requests that make these calls.
 };
 
-/// One kind of request. Kinds with `per_second` zero are only made by servers.
+/// One kind of request. Kinds with `per_second` zero are only sent by servers, as calls.
 struct KindShape {
   std::string name;
   std::string service;
-  double per_second = 0;  ///< Of the whole fleet.
-  Duration work{};        ///< Mean, at a server of speed 1.
-  double spread = 0.3;    ///< Standard deviation of the work's logarithm.
+  double per_second = 0;  ///< Requests per second in the whole fleet.
+  Duration work{};        ///< Mean service time on a server of speed 1.
+  double spread = 0.3;    ///< Standard deviation of the logarithm of the service time.
   Duration target{};
   Duration deadline{};
-  double worth = 1;
-  double late_worth = 0.3;
+  double utility = 1;         ///< Of an answer within the target.
+  double late_utility = 0.3;  ///< Of a later answer.
   std::uint32_t rank = 1;
   bool is_repeatable = true;
-  std::uint32_t returns = 1;  ///< How often a refused caller comes back.
+  std::uint32_t caller_retries = 1;  ///< How often a refused caller retries.
   std::vector<CallShape> calls = {};
 };
 
-/// More load for a while.
+/// Multiplies the load for a limited time.
 struct Burst {
   Duration at{};
   Duration length{};
   double factor = 1;
 };
 
-/// Some servers of a service reject a part of what they get, at once and though they have room.
+/// Some servers of a service immediately reject a fraction of their requests despite free slots.
 struct RejectingServers {
   std::string service;
-  double share = 0;  ///< Of the servers.
-  double rate = 0;   ///< Of the requests at these.
+  double share = 0;  ///< Fraction of the servers.
+  double rate = 0;   ///< Fraction of the requests to these servers.
   Duration at{};
   Duration length{};
 };
@@ -66,12 +67,13 @@
   std::size_t zones = 6;
   std::vector<ServiceShape> services;
   std::vector<KindShape> kinds;
-  double load = 1;          ///< Multiplies each kind's rate.
-  double servers_gone = 0;  ///< Part of each service's servers that end a third into the run.
+  double load = 1;  ///< Multiplies each kind's rate.
+  /// Fraction of each service's servers that leave after a third of the run.
+  double leaving_fraction = 0;
   std::vector<Burst> bursts;
   RejectingServers rejecting;
   ColdShape cold;
-  Duration power_loss{};  ///< When all servers end and start cold; zero: never.
+  Duration power_loss{};  ///< Time at which all servers restart cold; zero: never.
   Duration length = std::chrono::seconds(20);
 };
 
@@ -80,46 +82,46 @@
   std::string name;
   egress::Settings egress = {};
   ingress::Settings ingress = {};
-  bool knows_cold_rate = true;  ///< The configuration tells what a cold server bears.
+  bool has_cold_rate = true;  ///< Whether nodes know the rate that cold servers sustain.
 };
 
-/// Of one kind, counted by requests as callers see them: a refused one that returns is the same.
+/// Outcome of one kind of request as callers see it. A request and its retries by the caller count
+/// as one.
 struct KindOutcome {
   std::string name;
-  double asked = 0;
-  double in_time = 0;  ///< Answered within its target, from the first try.
+  double sent = 0;     ///< Requests, without retries.
+  double in_time = 0;  ///< Answered within the target, counted from the first try.
   double late = 0;
   double refused = 0;
   double failed = 0;
-  double earned = 0;  ///< Worth of those served.
-  double owed = 0;    ///< Worth if all were in time.
+  double earned_utility = 0;    ///< Utility of the answered requests.
+  double possible_utility = 0;  ///< Utility if all requests were answered in time.
 };
 
 struct FleetOutcome {
   std::vector<KindOutcome> kinds;
-  double refusals = 0;           ///< Answers "not run", also of callers that return.
-  double hop_refusals = 0;       ///< By ingresses to egresses.
-  double remote_answers = 0;     ///< Answers that came from another zone.
-  double remote_to_callers = 0;  ///< Of these, answers to callers, not to servers that call.
-  double remote_refusals = 0;    ///< By ingresses of another zone.
-  double rejected = 0;           ///< By servers.
-  double calls_failed = 0;       ///< Made by servers.
-  double cold_crashes = 0;       ///< Cold servers that got more than they bear.
-  std::vector<double> in_time_by_second;  ///< Of all kinds, by the second they were asked in.
-  std::vector<double> asked_by_second;
-  double busiest = 0;  ///< Requests run at the busiest server over the mean of its service.
-
-  double asked() const;
-  double earnedPart() const;  ///< Earned by all kinds, of what is owed.
-  double refusedPart() const;
-  double latePart() const;
+  double refusals = 0;           ///< "Not run" answers, including those that callers retry.
+  double hop_refusals = 0;       ///< Refusals sent by ingresses to egresses.
+  double remote_answers = 0;     ///< Answers from another zone.
+  double remote_to_callers = 0;  ///< Those of `remote_answers` that went to callers, not servers.
+  double remote_refusals = 0;    ///< Refusals by ingresses in another zone.
+  double rejected = 0;           ///< Requests rejected by servers.
+  double calls_failed = 0;       ///< Failed calls made by servers.
+  double cold_crashes = 0;       ///< Crashes of cold servers by overload.
+  std::vector<double> in_time_by_second;  ///< All kinds, by the second of the first try.
+  std::vector<double> sent_by_second;
+  double busiest = 0;  ///< Highest ratio of a server's requests to the mean of its service.
+
+  double sent() const;
+  double earnedFraction() const;  ///< Earned utility as a fraction of the possible utility.
+  double refusedFraction() const;
+  double lateFraction() const;
 };
 
-/// Plays the scenario; the outcome follows from the arguments alone.
-FleetOutcome playFleet(const FleetScenario& scenario, const FleetPolicy& policy,
-                       std::uint64_t seed);
+/// Runs the scenario. The outcome depends only on the arguments.
+FleetOutcome runFleet(const FleetScenario& scenario, const FleetPolicy& policy, std::uint64_t seed);
 
-/// Fleets and loads like those that users run, by name.
+/// Returns named scenarios with fleets and loads like those of real users.
 std::vector<FleetScenario> fleetScenarios();
 
 }  // namespace coursepond::data_path
--- a/bench/data_path/fleet_scenarios.cpp
+++ b/bench/data_path/fleet_scenarios.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Requests that only servers make: worth nothing by themselves.
+/// A kind of request that only servers send. It has no utility of its own.
 KindShape calledKind(std::string name, std::string service, Duration work, Duration target,
                      Duration deadline) {
   return {.name = std::move(name),
@@ -17,15 +17,15 @@
           .spread = 0.5,
           .target = target,
           .deadline = deadline,
-          .worth = 0,
-          .late_worth = 0};
+          .utility = 0,
+          .late_utility = 0};
 }
 
 std::vector<Burst> twoBursts() {
   return {{seconds(5), seconds(4), 1.7}, {seconds(13), seconds(3), 1.5}};
 }
 
-/// Lookups with tight targets on servers of unequal speed, which call each other.
+/// Lookups with short latency targets, on servers of unequal speed that call each other.
 FleetScenario lookups(std::string name) {
   FleetScenario fleet;
   fleet.name = std::move(name);
@@ -48,8 +48,8 @@
                           .spread = 0.8,
                           .target = milliseconds(800),
                           .deadline = milliseconds(1500),
-                          .worth = 2,
-                          .late_worth = 0.6,
+                          .utility = 2,
+                          .late_utility = 0.6,
                           .is_repeatable = false,
                           .calls = {{"probe", 2, 0.7}}};
   const KindShape report{.name = "report",
@@ -67,8 +67,8 @@
                         .spread = 0.8,
                         .target = milliseconds(250),
                         .deadline = milliseconds(1000),
-                        .worth = 2,
-                        .late_worth = 0.6};
+                        .utility = 2,
+                        .late_utility = 0.6};
   const KindShape slot_check =
       calledKind("slot-check", "booking", milliseconds(55), milliseconds(200), milliseconds(600));
   const KindShape probe =
@@ -77,7 +77,8 @@
   return fleet;
 }
 
-/// Long work with wide targets: a slot is held for a second.
+/// Requests with long service times and generous latency targets: a slot is busy for about a
+/// second.
 FleetScenario downloads(std::string name) {
   FleetScenario fleet;
   fleet.name = std::move(name);
@@ -92,7 +93,7 @@
                           .target = milliseconds(1000),
                           .deadline = milliseconds(3000),
                           .rank = 2,
-                          .returns = 2,
+                          .caller_retries = 2,
                           .calls = {{"seat-check", 1, 0.7}}};
   const KindShape grant{.name = "grant",
                         .service = "licensing",
@@ -101,10 +102,10 @@
                         .spread = 0.5,
                         .target = milliseconds(1500),
                         .deadline = milliseconds(5000),
-                        .worth = 2,
-                        .late_worth = 0.6,
+                        .utility = 2,
+                        .late_utility = 0.6,
                         .is_repeatable = false,
-                        .returns = 2,
+                        .caller_retries = 2,
                         .calls = {{"metrics", 2, 0.7}}};
   const KindShape specimen{.name = "specimen",
                            .service = "typeserve",
@@ -114,7 +115,7 @@
                            .target = milliseconds(2500),
                            .deadline = milliseconds(7500),
                            .rank = 2,
-                           .returns = 2};
+                           .caller_retries = 2};
   const KindShape subset{.name = "subset",
                          .service = "typeserve",
                          .per_second = 195,
@@ -122,9 +123,9 @@
                          .spread = 0.8,
                          .target = milliseconds(500),
                          .deadline = milliseconds(3000),
-                         .worth = 2,
-                         .late_worth = 0.6,
-                         .returns = 2};
+                         .utility = 2,
+                         .late_utility = 0.6,
+                         .caller_retries = 2};
   const KindShape seat_check = calledKind("seat-check", "licensing", milliseconds(96),
                                           milliseconds(400), milliseconds(1200));
   const KindShape metrics =
@@ -133,7 +134,7 @@
   return fleet;
 }
 
-/// Few servers, short targets, two calls by most requests.
+/// Few servers, short latency targets, and two calls by most requests.
 FleetScenario transfers(std::string name) {
   FleetScenario fleet;
   fleet.name = std::move(name);
@@ -148,9 +149,9 @@
                           .spread = 0.8,
                           .target = milliseconds(400),
                           .deadline = milliseconds(1200),
-                          .late_worth = 0.1,
+                          .late_utility = 0.1,
                           .rank = 2,
-                          .returns = 2,
+                          .caller_retries = 2,
                           .calls = {{"quota", 2, 0.7}}};
   const KindShape transfer{.name = "transfer",
                            .service = "transfer",
@@ -159,10 +160,10 @@
                            .spread = 0.3,
                            .target = milliseconds(500),
                            .deadline = milliseconds(1500),
-                           .worth = 2,
-                           .late_worth = 0.2,
+                           .utility = 2,
+                           .late_utility = 0.2,
                            .is_repeatable = false,
-                           .returns = 2,
+                           .caller_retries = 2,
                            .calls = {{"document", 1, 0.7}}};
   const KindShape upload{.name = "upload",
                          .service = "receipt",
@@ -171,9 +172,9 @@
                          .spread = 0.3,
                          .target = milliseconds(500),
                          .deadline = milliseconds(3000),
-                         .worth = 2,
-                         .late_worth = 0.2,
-                         .returns = 2};
+                         .utility = 2,
+                         .late_utility = 0.2,
+                         .caller_retries = 2};
   const KindShape quota =
       calledKind("quota", "transfer", milliseconds(30), milliseconds(120), milliseconds(400));
   const KindShape document =
@@ -182,8 +183,8 @@
   return fleet;
 }
 
-/// Grants that call, and reads that make two calls at once, on servers with few slots. A cold
-/// server bears about a fifth of its usual load for long, and three fifths in a single second.
+/// Grants that make one call and reads that make two in parallel, on servers with few slots. A cold
+/// server can sustain about a fifth of its usual load, or three fifths for a single second.
 FleetScenario grants(std::string name) {
   FleetScenario fleet;
   fleet.name = std::move(name);
@@ -200,7 +201,7 @@
                        .target = milliseconds(600),
                        .deadline = milliseconds(2000),
                        .rank = 2,
-                       .returns = 2,
+                       .caller_retries = 2,
                        .calls = {{"seat-check", 2, 0.7}}};
   const KindShape grant{.name = "grant",
                         .service = "licensing",
@@ -209,10 +210,10 @@
                         .spread = 0.3,
                         .target = milliseconds(1000),
                         .deadline = milliseconds(3000),
-                        .worth = 2,
-                        .late_worth = 0.6,
+                        .utility = 2,
+                        .late_utility = 0.6,
                         .is_repeatable = false,
-                        .returns = 2,
+                        .caller_retries = 2,
                         .calls = {{"metrics", 1, 0.7}}};
   const KindShape specimen{.name = "specimen",
                            .service = "typeserve",
@@ -222,7 +223,7 @@
                            .target = milliseconds(1500),
                            .deadline = milliseconds(5000),
                            .rank = 2,
-                           .returns = 2};
+                           .caller_retries = 2};
   const KindShape subset{.name = "subset",
                          .service = "typeserve",
                          .per_second = 224,
@@ -230,9 +231,9 @@
                          .spread = 0.8,
                          .target = milliseconds(300),
                          .deadline = milliseconds(1200),
-                         .worth = 2,
-                         .late_worth = 0.6,
-                         .returns = 2};
+                         .utility = 2,
+                         .late_utility = 0.6,
+                         .caller_retries = 2};
   const KindShape seat_check =
       calledKind("seat-check", "licensing", milliseconds(55), milliseconds(200), milliseconds(600));
   const KindShape metrics =
@@ -252,7 +253,7 @@
   scenarios.back().bursts = twoBursts();
 
   scenarios.push_back(lookups("lookups, a quarter of the servers gone"));
-  scenarios.back().servers_gone = 0.25;
+  scenarios.back().leaving_fraction = 0.25;
   scenarios.back().bursts = {{seconds(9), seconds(4), 1.3}};
 
   scenarios.push_back(downloads("downloads, usual load"));
--- a/bench/data_path/loaded_node.cpp
+++ b/bench/data_path/loaded_node.cpp
@@ -8,14 +8,14 @@
 
 constexpr Duration kOneWay = kRoundTrip / 2;
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Finished exchanges are freed when this many have gathered.
+/// Finished exchanges are freed once the list has this many entries.
 constexpr std::size_t kSweepSize = 1000;
 
 std::size_t serverIndex(const model::Endpoint& endpoint) { return endpoint.address.port; }
 
 }  // namespace
 
-/// One request and its I/O: messages to servers and back take kOneWay each.
+/// One request and its I/O. Each message to or from a server takes kOneWay.
 class LoadedNode::Exchange final : public proxy::RequestIo {
  public:
   Exchange(LoadedNode& node, proxy::RequestHead head)
@@ -69,10 +69,10 @@
     if (!std::exchange(forwarded_, false)) return;
     finished_ = true;
     flow_.onAnswerComplete(id);
-    noteAnswer();
+    recordAnswer();
   }
 
-  void noteAnswer() {
+  void recordAnswer() {
     CallerView& view = node_.view_;
     const auto second = static_cast<std::size_t>(node_.time_.elapsed() / std::chrono::seconds(1));
     if (view.answered_per_second.size() <= second) view.answered_per_second.resize(second + 1);
@@ -134,7 +134,7 @@
   head.host = "mesh";
   head.path = "/";
   head.deadline = deadline_;
-  if (measuring_) ++view_.asked;
+  if (measuring_) ++view_.sent;
   exchanges_.push_back(std::make_unique<Exchange>(*this, std::move(head)));
   exchanges_.back()->start();
 }
--- a/bench/data_path/loaded_node.h
+++ b/bench/data_path/loaded_node.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// One node of the experiment: the production ProxyState under an open-loop load.
+/// One node of the experiment: the production ProxyState under an open-loop load (arrivals don't
+/// wait for answers).
 
 #include <list>
 #include <memory>
@@ -14,18 +15,18 @@
 
 namespace coursepond::data_path {
 
-/// From a node to a server and back.
+/// Network round trip time between a node and a server.
 inline constexpr Duration kRoundTrip = std::chrono::milliseconds(1);
 
-/// What callers saw in the measured part of a run.
+/// Outcome of the requests of the measured part of a run, as seen by callers.
 struct CallerView {
-  std::vector<Duration> latencies;  ///< Of good answers.
-  std::uint64_t asked = 0;
+  std::vector<Duration> latencies;  ///< Latencies of successful answers.
+  std::uint64_t sent = 0;           ///< Requests.
   std::uint64_t answered = 0;
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;
-  std::vector<std::uint64_t>
-      answered_per_second;  ///< Of the whole run, by the second of the answer.
+  /// Answers in the whole run, by the second of the answer.
+  std::vector<std::uint64_t> answered_per_second;
 };
 
 /// The Environment of one simulated node.
@@ -50,11 +51,11 @@
              const model::SnapshotPointer& snapshot, std::size_t nodes, Servers& servers);
   ~LoadedNode();
 
-  /// Requests arrive from now on, at random moments, this many per second.
+  /// Starts a Poisson arrival process with this mean rate.
   void beginLoad(double requests_per_second, Duration deadline);
-  /// Requests that arrive from now on count in the view.
+  /// Includes requests that arrive from now on in view().
   void beginMeasuring() { measuring_ = true; }
-  /// Requests that arrive from now on do not count.
+  /// Excludes requests that arrive from now on from view().
   void endMeasuring() { measuring_ = false; }
 
   const CallerView& view() const { return view_; }
--- a/bench/data_path/main.cpp
+++ b/bench/data_path/main.cpp
@@ -1,4 +1,4 @@
-// Prints how the data path's policies do when several nodes share servers, as Markdown tables.
+// Compares data path policies for several nodes that share servers, and prints Markdown tables.
 
 #include <algorithm>
 #include <cstdio>
@@ -25,44 +25,44 @@
 }
 
 void printSeconds(const FleetOutcome& outcome) {
-  std::printf("\nin time, of those asked in each second:");
-  for (std::size_t second = 0; second < outcome.asked_by_second.size(); ++second) {
+  std::printf("\nfraction answered in time, by second of arrival:");
+  for (std::size_t second = 0; second < outcome.sent_by_second.size(); ++second) {
     const bool has_any = second < outcome.in_time_by_second.size();
     const double in_time = has_any ? outcome.in_time_by_second[second] : 0;
-    std::printf(" %.2f", in_time / std::max(outcome.asked_by_second[second], 1.0));
+    std::printf(" %.2f", in_time / std::max(outcome.sent_by_second[second], 1.0));
   }
   std::printf("; crashes of cold servers: %.0f\n", outcome.cold_crashes);
 }
 
 void printFleet(const FleetScenario& scenario, const FleetPolicy& policy, std::uint64_t seed) {
-  const FleetOutcome outcome = playFleet(scenario, policy, seed);
+  const FleetOutcome outcome = runFleet(scenario, policy, seed);
   std::printf("\n**%s**, %s, seed %llu\n\n", scenario.name.c_str(), policy.name.c_str(),
               static_cast<unsigned long long>(seed));
   std::printf(
       "earned %.4f, refused %.4f, late %.4f; answers \"not run\" %.0f, between hops %.0f; from "
       "another zone %.3f of the answers; calls failed %.0f; busiest server over the mean %.2f\n\n",
-      outcome.earnedPart(), outcome.refusedPart(), outcome.latePart(), outcome.refusals,
-      outcome.hop_refusals, outcome.remote_answers / std::max(outcome.asked(), 1.0),
+      outcome.earnedFraction(), outcome.refusedFraction(), outcome.lateFraction(), outcome.refusals,
+      outcome.hop_refusals, outcome.remote_answers / std::max(outcome.sent(), 1.0),
       outcome.calls_failed, outcome.busiest);
   std::printf("| kind | asked | in time | late | refused | failed |\n|---|---|---|---|---|---|\n");
   for (const KindOutcome& kind : outcome.kinds) {
-    if (kind.asked == 0) continue;
-    std::printf("| %s | %.0f | %.3f | %.3f | %.3f | %.3f |\n", kind.name.c_str(), kind.asked,
-                kind.in_time / kind.asked, kind.late / kind.asked, kind.refused / kind.asked,
-                kind.failed / kind.asked);
+    if (kind.sent == 0) continue;
+    std::printf("| %s | %.0f | %.3f | %.3f | %.3f | %.3f |\n", kind.name.c_str(), kind.sent,
+                kind.in_time / kind.sent, kind.late / kind.sent, kind.refused / kind.sent,
+                kind.failed / kind.sent);
   }
   printSeconds(outcome);
 }
 
 int run(int argc, char** argv) {
-  cxxopts::Options options("coursepond-data-path", "Policies of the data path in virtual time");
+  cxxopts::Options options("coursepond-data-path", "Compares data path policies in virtual time");
   auto add = options.add_options();
-  add("seeds", "runs of each scenario, averaged",
+  add("seeds", "number of runs per scenario (seeds 1 to N), averaged except with --fleet",
       cxxopts::value<std::uint64_t>()->default_value("3"));
-  add("only", "scenarios whose name holds this text",
+  add("only", "run only scenarios whose name contains this text",
       cxxopts::value<std::string>()->default_value(""));
-  add("fleet", "nodes with two hops in place of a mesh: what callers get, by kind");
-  add("help", "print this");
+  add("fleet", "simulate a fleet of two-hop nodes instead, and print outcomes by kind of request");
+  add("help", "print this help");
   const auto arguments = options.parse(argc, argv);
   if (arguments.count("help") > 0) {
     std::puts(options.help().c_str());
--- a/bench/data_path/scenarios.cpp
+++ b/bench/data_path/scenarios.cpp
@@ -5,9 +5,9 @@
 
 using std::chrono::seconds;
 
-/// So wide a tolerance that the first of two random servers always wins.
+/// Cost tolerance so large that the first of two random servers is always chosen.
 constexpr double kNoPreference = 1e12;
-/// More retries than any run asks for.
+/// Retry budget that no run can exhaust.
 constexpr std::uint32_t kUnboundedPercent = 1'000'000;
 
 ServerChange change(Duration at, std::size_t server, std::function<void(ServerShape&)> apply) {
@@ -60,7 +60,7 @@
   scenarios.push_back(scenario("130 % load", 1.3));
 
   Scenario uneven = scenario("80 % load, half of it on one node", 0.8);
-  uneven.busiest_node_part = 0.5;
+  uneven.busiest_node_fraction = 0.5;
   scenarios.push_back(uneven);
 
   Scenario slow = scenario("50 % load, one server 5 times slower", 0.5);
--- a/bench/data_path/scenarios.h
+++ b/bench/data_path/scenarios.h
@@ -6,14 +6,16 @@
 
 namespace coursepond::data_path {
 
-/// The ways to balance that are compared; the last one is the default settings.
+/// Returns the load balancing policies to compare. The last one has the default settings.
 std::vector<Policy> policies();
 
-/// Sharing, overload, slow servers and misleading reports: run under every policy.
+/// Returns scenarios with shared servers, overload, slow servers and misleading load reports. They
+/// are run with every policy.
 std::vector<Scenario> balancingScenarios();
 
-/// A spell in which half the answers are lost after the work is done, with the budget of the
-/// default settings and without any bound: run under the default policy.
+/// Returns scenarios in which half the answers are lost for some seconds after the work is done:
+/// with the default retry budget, with an unlimited one and without retries. They are run with the
+/// default policy.
 std::vector<Scenario> retryScenarios();
 
 }  // namespace coursepond::data_path
--- a/bench/data_path/shared_server.cpp
+++ b/bench/data_path/shared_server.cpp
@@ -50,9 +50,8 @@
 
 Duration SharedServer::serviceTime() {
   const double fraction = random_.positiveFraction();
-  const double beyond =
-      -std::log(fraction) * static_cast<double>(shape_.mean_beyond_shortest.count());
-  const double whole = static_cast<double>(shape_.shortest_service.count()) + beyond;
+  const double beyond = -std::log(fraction) * static_cast<double>(shape_.mean_extra_time.count());
+  const double whole = static_cast<double>(shape_.min_service_time.count()) + beyond;
   return Duration(static_cast<Duration::rep>(whole * shape_.slowness));
 }
 
--- a/bench/data_path/shared_server.h
+++ b/bench/data_path/shared_server.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A back end that several nodes use without seeing each other.
+/// Model of a server that is shared by several nodes that do not know of each other's requests.
 
 #include <functional>
 #include <memory>
@@ -13,40 +13,42 @@
 namespace coursepond::data_path {
 
 enum class ReportKind {
-  kHonest,      ///< Busy slots over slots, as of the answer.
-  kLagging,     ///< As of up to a second ago.
-  kAlwaysIdle,  ///< Lies: no load.
-  kAlwaysFull,  ///< Lies: full load.
+  kHonest,      ///< Fraction of the slots that are busy at the time of the answer.
+  kLagging,     ///< Up to one second out of date.
+  kAlwaysIdle,  ///< Always reports no load.
+  kAlwaysFull,  ///< Always reports full load.
 };
 
-/// What a server is like; may change during a run.
+/// Properties of a server. They may change during a run.
 struct ServerShape {
   std::uint32_t slots = 10;
-  std::uint32_t taken_slots = 0;  ///< Of `slots`, by users outside the experiment.
-  Duration shortest_service = std::chrono::milliseconds(5);
-  Duration mean_beyond_shortest = std::chrono::milliseconds(5);  ///< Exponentially distributed.
-  double slowness = 1;                                           ///< Factor on the service time.
-  double lost_answers = 0;  ///< Part of the answers that are lost after the work is done.
+  std::uint32_t taken_slots = 0;  ///< Slots used by traffic outside the experiment.
+  Duration min_service_time = std::chrono::milliseconds(5);
+  /// Mean of the exponentially distributed time beyond `min_service_time`.
+  Duration mean_extra_time = std::chrono::milliseconds(5);
+  double slowness = 1;      ///< Factor on the service time.
+  double lost_answers = 0;  ///< Fraction of the answers that are lost after the work is done.
   ReportKind report = ReportKind::kHonest;
 };
 
-/// How a request on the server ended: the head of its answer, or a lost connection.
+/// Result of a request: the head of the answer, or a lost connection.
 struct ServerReply {
   bool lost = false;
   proxy::AnswerHead head;
 };
 
-/// Runs as many requests as it has slots and refuses the rest as not run, at once.
+/// Runs one request per slot and immediately refuses the others as not run.
 class SharedServer {
  public:
   using Reply = std::function<void(const ServerReply&)>;
-  /// Frees the slot of a request whose caller has gone; does nothing after the reply.
+  /// Cancels the request and frees its slot. Does nothing after the reply.
   using Cancel = std::function<void()>;
 
   SharedServer(simulation::VirtualTime& time, std::uint64_t seed);
 
   ServerShape& shape() { return shape_; }
-  /// Runs the request, or refuses it; `reply` is called once, never from inside, unless cancelled.
+  /// Runs or refuses the request. Unless cancelled, `reply` is called exactly once, after run() has
+  /// returned.
   Cancel run(Reply reply);
 
   std::uint64_t ran() const { return ran_; }
--- a/bench/data_path/two_hop_fleet.cpp
+++ b/bench/data_path/two_hop_fleet.cpp
@@ -21,14 +21,14 @@
 using proxy::AttemptId;
 using proxy::AttemptPlan;
 
-/// A message's way, and its handling at both ends on a tenth of a core.
+/// One-way delay of a message, including its processing at both ends on a tenth of a core.
 constexpr Duration kSameZoneHop = std::chrono::microseconds(700);
 constexpr Duration kOtherZoneHop = std::chrono::microseconds(1400);
 constexpr Duration kCallerHop = std::chrono::milliseconds(1);
-/// How long after the last request the last answer may come.
+/// Time for the last answers to arrive after the last request.
 constexpr Duration kTail = std::chrono::seconds(12);
 constexpr double kMicrosecondsPerSecond = 1e6;
-/// Spreads the rejecting servers over zones and speeds.
+/// Step and modulus that spread the rejecting servers over zones and speeds.
 constexpr std::size_t kShareSteps = 97;
 constexpr std::size_t kShareStride = 31;
 constexpr double kTwoPi = 6.283185307179586;
@@ -57,19 +57,19 @@
   std::size_t service = 0;
   model::ServerEntry entry;
   double speed = 1;
-  bool is_gone = false;
+  bool is_leaving = false;
   ColdServer cold;
-  std::uint64_t lives = 0;  ///< Of the server; work of an earlier one is lost.
+  std::uint64_t incarnation = 0;  ///< Incremented by a crash or restart; older work is lost.
   std::uint64_t ran = 0;
 };
 
-/// What a request's sender is told: the status, and when to come back after "not run".
+/// Answer to the sender of a request: the status, and after "not run" the delay before a retry.
 using Reply = std::function<void(int status, std::optional<Duration> retry_after)>;
 
 class EgressExchange;
 class IngressExchange;
 
-/// All nodes, the requests under way, and the callers.
+/// All nodes, the requests in flight, and the callers.
 class Fleet {
  public:
   Fleet(const FleetScenario& scenario, const FleetPolicy& policy, std::uint64_t seed);
@@ -83,24 +83,25 @@
   }
   TimePoint now() const { return time_.now(); }
   const KindShape& kind(std::size_t index) const { return scenario_.kinds[index]; }
-  std::size_t kindNamed(const std::string& name) const;
+  std::size_t kindIndex(const std::string& name) const;
   Node& nodeOf(const EndpointId& server) { return *nodes_[node_of_server_.at(server)]; }
   Duration hop(const Node& from, const Node& to) const {
     return from.entry.zone == to.entry.zone ? kSameZoneHop : kOtherZoneHop;
   }
   Duration drawWork(const KindShape& kind);
   bool isRejected(const Node& node);
-  /// A request, or a question for its health, arrives at the node's server: false when it is down.
+  /// Delivers a request or health probe to the node's server. Returns false if the server is down
+  /// or crashes.
   bool arriveAtServer(Node& node);
   Duration workLength(Node& node, const KindShape& kind);
   bool drawChance(double probability) { return random_.chance(probability); }
   FleetOutcome& outcome() { return outcome_; }
-  /// Keeps the exchange until it is released.
+  /// Keeps the exchange alive until it is released.
   template <typename Exchange>
   void keep(std::shared_ptr<Exchange> exchange) {
     kept_[exchange.get()] = exchange;
   }
-  /// Not from inside the exchange's own calls: it goes with the next event.
+  /// Frees the exchange in a later event, as the caller may be one of its own functions.
   void release(void* exchange) {
     after(Duration(0), [this, exchange] { kept_.erase(exchange); });
   }
@@ -110,19 +111,19 @@
   struct Caller {
     std::size_t kind = 0;
     TimePoint first_at;
-    std::uint32_t returns_left = 0;
+    std::uint32_t retries_left = 0;
   };
 
   void makeNodes(const FleetPolicy& policy, std::uint64_t seed);
   model::Service serviceOf(const ServiceName& name, const FleetPolicy& policy) const;
-  void endServers();
+  void startLeaving();
   void losePower();
-  void askHealth(Node& node);
-  void noteBySecond(const Caller& caller, bool is_in_time);
-  double factor() const;
+  void probeHealth(Node& node);
+  void countBySecond(const Caller& caller, bool is_in_time);
+  double loadFactor() const;
   void scheduleArrival(std::size_t kind);
-  Node& anyServingNode();
-  void ask(Caller caller);
+  Node& randomServingNode();
+  void sendFromCaller(Caller caller);
   void onAnswered(const Caller& caller, int status, std::optional<Duration> retry_after);
   double busiestOverMean() const;
 
@@ -136,7 +137,7 @@
   std::uint64_t last_request_ = 0;
 };
 
-/// One request at the node where it began.
+/// One request at the egress of the node that received it from a caller or server.
 class EgressExchange final : public proxy::RequestIo,
                              public std::enable_shared_from_this<EgressExchange> {
  public:
@@ -161,13 +162,13 @@
 
   void startAttempt(const AttemptPlan& plan) override;
   void cancelAttempt(AttemptId) override;
-  void discardAnswer(AttemptId) override { leaveIngress(); }
+  void discardAnswer(AttemptId) override { detachIngress(); }
   void forwardAnswer(AttemptId) override { is_forwarding_ = true; }
   void answerLocally(const proxy::LocalAnswer& answer) override {
     finish(answer.status, answer.retry_after);
   }
 
-  // ---- From the ingress, a hop later
+  // ---- Messages from the ingress, after the hop delay
 
   void onReceived(AttemptId attempt) {
     if (isCurrent(attempt)) flow_->onAttemptReceived(attempt);
@@ -180,7 +181,7 @@
  private:
   bool isCurrent(AttemptId attempt) const { return !is_done_ && attempt == attempt_; }
   void arriveAt(Node& target, const AttemptPlan& plan);
-  void leaveIngress() {
+  void detachIngress() {
     attempt_ = 0;
     ingress_.reset();
   }
@@ -207,7 +208,7 @@
   bool is_done_ = false;
 };
 
-/// One attempt at the node beside the server, and the server's work on it.
+/// One attempt at the ingress next to the server, and the server's work on it.
 class IngressExchange final : public proxy::RequestIo,
                               public std::enable_shared_from_this<IngressExchange> {
  public:
@@ -247,7 +248,7 @@
 
  private:
   void reject();
-  void lose(AttemptFailure failure);
+  void failAttempt(AttemptFailure failure);
   void makeCalls();
   void onCallAnswered(int status);
   void work();
@@ -272,9 +273,9 @@
   std::unique_ptr<proxy::Exchange> flow_;
   std::vector<std::weak_ptr<EgressExchange>> calls_;
   std::uint32_t open_calls_ = 0;
-  std::uint32_t run_ = 0;   ///< Of the server's work; raised when it is stopped.
-  std::uint64_t life_ = 0;  ///< Of the server, at the run's begin.
-  AttemptId attempt_ = 0;   ///< At the server.
+  std::uint32_t run_ = 0;          ///< Number of the current run; incremented when it is stopped.
+  std::uint64_t incarnation_ = 0;  ///< Incarnation of the server when the run began.
+  AttemptId attempt_ = 0;          ///< The attempt at the server.
   bool has_call_failed_ = false;
   bool is_done_ = false;
   std::optional<proxy::HopLoad> forwarded_load_;
@@ -302,7 +303,7 @@
   if (ingress_) {
     fleet_.after(kOtherZoneHop, [ingress = ingress_] { ingress->onCallerGone(); });
   }
-  leaveIngress();
+  detachIngress();
 }
 
 void EgressExchange::onAnswer(AttemptId attempt, const AnswerHead& head, const Node& from) {
@@ -324,18 +325,18 @@
   attempt_ = plan.id;
   ++run_;
   if (fleet_.isRejected(node_)) {
-    // The flow expects its answer in a later event.
+    // The flow expects the answer in a later event, not from inside startAttempt().
     return fleet_.after(Duration(0), [self = shared_from_this(), run = run_] {
       if (!self->is_done_ && run == self->run_) self->reject();
     });
   }
   if (!fleet_.arriveAtServer(node_)) {
     return fleet_.after(Duration(0), [self = shared_from_this(), run = run_] {
-      if (!self->is_done_ && run == self->run_) self->lose(AttemptFailure::kConnectFailed);
+      if (!self->is_done_ && run == self->run_) self->failAttempt(AttemptFailure::kConnectFailed);
     });
   }
   ++node_.ran;
-  life_ = node_.lives;
+  incarnation_ = node_.incarnation;
   makeCalls();
   if (open_calls_ == 0) work();
 }
@@ -347,13 +348,15 @@
   flow_->onAnswerHead(attempt_, head);
 }
 
-/// The server is down, or went down while it ran this.
-void IngressExchange::lose(AttemptFailure failure) { flow_->onAttemptFailed(attempt_, failure); }
+/// Called when the server is down or has crashed while it ran the request.
+void IngressExchange::failAttempt(AttemptFailure failure) {
+  flow_->onAttemptFailed(attempt_, failure);
+}
 
 void IngressExchange::makeCalls() {
   for (const CallShape& call : fleet_.kind(kind_).calls) {
     if (!fleet_.drawChance(call.share)) continue;
-    const std::size_t kind = fleet_.kindNamed(call.kind);
+    const std::size_t kind = fleet_.kindIndex(call.kind);
     for (std::uint32_t number = 0; number < call.times; ++number) {
       ++open_calls_;
       const std::string id = id_ + "." + std::to_string(calls_.size() + 1);
@@ -382,7 +385,7 @@
 }
 
 void IngressExchange::answer() {
-  if (life_ != node_.lives) return lose(AttemptFailure::kLostAfterSend);
+  if (incarnation_ != node_.incarnation) return failAttempt(AttemptFailure::kLostAfterSend);
   AnswerHead head;
   head.status = has_call_failed_ ? kServerError : kOk;
   head.request_id = id_;
@@ -454,8 +457,9 @@
   model::Service service;
   service.name = name;
   service.warm_up = scenario_.cold.warm_up;
-  if (policy.knows_cold_rate) {
-    service.cold_rate_per_1000_s = static_cast<std::uint32_t>(scenario_.cold.rate * kPerThousand);
+  if (policy.has_cold_rate) {
+    service.cold_rate_per_1000_s =
+        static_cast<std::uint32_t>(scenario_.cold.sustained_per_second * kPerThousand);
   }
   return service;
 }
@@ -479,8 +483,10 @@
       egress.ingress_port = kIngressPort;
       ingress::Settings ingress = policy.ingress;
       ingress.own_service = entry.service;
-      // What operators promise of cold servers is what they bear in any second.
-      ingress.cold_start.burst = static_cast<double>(scenario_.cold.most) - scenario_.cold.rate;
+      // The rate plus the burst bounds the requests in any second, so it must equal the peak that
+      // a cold server withstands.
+      ingress.cold_start.burst =
+          static_cast<double>(scenario_.cold.peak_per_second) - scenario_.cold.sustained_per_second;
       nodes_.push_back(std::make_unique<Node>(time_, seed * 1000 + index, egress, ingress));
       Node& node = *nodes_.back();
       node.index = index;
@@ -489,7 +495,7 @@
       node.speed = shape.speeds[random_.below(shape.speeds.size())];
       node.ingress.setServer(entry);
       node.ingress.setService(serviceOf(entry.service, policy));
-      node.ingress.onHealthWanted([this, &node] { askHealth(node); });
+      node.ingress.onHealthWanted([this, &node] { probeHealth(node); });
       node.ingress.onHealth({entry.id.value(), Duration(0)});
       node_of_server_[entry.id] = index;
       entries.push_back(entry);
@@ -504,15 +510,15 @@
   }
 }
 
-/// They say that they are leaving, are used no more, and finish what they have.
-void Fleet::endServers() {
+/// Marks a part of the servers as leaving: they get no new requests and finish the current ones.
+void Fleet::startLeaving() {
   std::map<std::size_t, double> to_end;
   std::vector<model::ServerEntry> leaving;
   for (const auto& node : nodes_) {
-    to_end[node->service] += scenario_.servers_gone;
+    to_end[node->service] += scenario_.leaving_fraction;
     if (to_end[node->service] < 1) continue;
     to_end[node->service] -= 1;
-    node->is_gone = true;
+    node->is_leaving = true;
     leaving.push_back(node->entry);
     leaving.back().state = model::MachineState::kLeaving;
     leaving.back().revision = Generation(2);
@@ -520,13 +526,13 @@
   for (const auto& node : nodes_) node->egress.directory().update(leaving, {}, time_.now());
 }
 
-std::size_t Fleet::kindNamed(const std::string& name) const {
+std::size_t Fleet::kindIndex(const std::string& name) const {
   const auto found = std::find_if(scenario_.kinds.begin(), scenario_.kinds.end(),
                                   [&name](const KindShape& kind) { return kind.name == name; });
   return static_cast<std::size_t>(found - scenario_.kinds.begin());
 }
 
-/// Log-normal with the kind's mean.
+/// Returns a log-normally distributed service time with the mean of the kind.
 Duration Fleet::drawWork(const KindShape& kind) {
   const double normal = std::sqrt(-2 * std::log(random_.positiveFraction())) *
                         std::cos(kTwoPi * random_.positiveFraction());
@@ -548,9 +554,9 @@
 
 bool Fleet::arriveAtServer(Node& node) {
   if (node.cold.isDown(now())) return false;
-  if (node.cold.takes(scenario_.cold, now())) return true;
+  if (node.cold.tryAccept(scenario_.cold, now())) return true;
   ++outcome_.cold_crashes;
-  ++node.lives;
+  ++node.incarnation;
   return false;
 }
 
@@ -559,23 +565,23 @@
   return fromMicroseconds(static_cast<double>(drawWork(kind).count()) * slowness / node.speed);
 }
 
-/// All servers start again, cold; what ran is lost.
+/// Restarts all servers cold. Running requests are lost.
 void Fleet::losePower() {
   for (const auto& node : nodes_) {
-    ++node->lives;
+    ++node->incarnation;
     node->cold.start(scenario_.cold, now());
     node->ingress.onServerLost(now(), now());
   }
 }
 
-void Fleet::askHealth(Node& node) {
+void Fleet::probeHealth(Node& node) {
   after(kSameZoneHop, [this, &node] {
     if (!arriveAtServer(node)) return;
-    node.ingress.onHealth({node.entry.id.value(), node.cold.coldLeft(now())});
+    node.ingress.onHealth({node.entry.id.value(), node.cold.remainingColdTime(now())});
   });
 }
 
-double Fleet::factor() const {
+double Fleet::loadFactor() const {
   double factor = scenario_.load;
   for (const Burst& burst : scenario_.bursts) {
     const Duration since = time_.elapsed() - burst.at;
@@ -585,23 +591,23 @@
 }
 
 void Fleet::scheduleArrival(std::size_t kind) {
-  const double per_second = scenario_.kinds[kind].per_second * factor();
+  const double per_second = scenario_.kinds[kind].per_second * loadFactor();
   const Duration gap =
       fromMicroseconds(-std::log(random_.positiveFraction()) * kMicrosecondsPerSecond / per_second);
   after(gap, [this, kind] {
     if (time_.elapsed() >= scenario_.length) return;
     scheduleArrival(kind);
-    outcome_.kinds[kind].asked += 1;
-    outcome_.kinds[kind].owed += scenario_.kinds[kind].worth;
-    noteBySecond({kind, now(), 0}, false);
-    ask({kind, now(), scenario_.kinds[kind].returns});
+    outcome_.kinds[kind].sent += 1;
+    outcome_.kinds[kind].possible_utility += scenario_.kinds[kind].utility;
+    countBySecond({kind, now(), 0}, false);
+    sendFromCaller({kind, now(), scenario_.kinds[kind].caller_retries});
   });
 }
 
-Node& Fleet::anyServingNode() {
+Node& Fleet::randomServingNode() {
   while (true) {
     Node& node = *nodes_[random_.below(nodes_.size())];
-    if (!node.is_gone) return node;
+    if (!node.is_leaving) return node;
   }
 }
 
@@ -614,8 +620,8 @@
   return exchange;
 }
 
-void Fleet::ask(Caller caller) {
-  Node& node = anyServingNode();
+void Fleet::sendFromCaller(Caller caller) {
+  Node& node = randomServingNode();
   const std::string id = "r" + std::to_string(++last_request_);
   after(kCallerHop, [this, caller, &node, id] {
     send(node, caller.kind, id, [this, caller](int status, std::optional<Duration> retry_after) {
@@ -631,8 +637,8 @@
   if (status == kOk) {
     const bool is_in_time = now() - caller.first_at <= kind.target;
     (is_in_time ? outcome.in_time : outcome.late) += 1;
-    if (is_in_time) noteBySecond(caller, true);
-    outcome.earned += is_in_time ? kind.worth : kind.late_worth;
+    if (is_in_time) countBySecond(caller, true);
+    outcome.earned_utility += is_in_time ? kind.utility : kind.late_utility;
     return;
   }
   if (status != kNotRun) {
@@ -640,25 +646,25 @@
     return;
   }
   ++outcome_.refusals;
-  if (caller.returns_left == 0) {
+  if (caller.retries_left == 0) {
     outcome.refused += 1;
     return;
   }
   Caller again = caller;
-  --again.returns_left;
-  after(retry_after.value_or(Duration(0)), [this, again] { ask(again); });
+  --again.retries_left;
+  after(retry_after.value_or(Duration(0)), [this, again] { sendFromCaller(again); });
 }
 
-void Fleet::noteBySecond(const Caller& caller, bool is_in_time) {
+void Fleet::countBySecond(const Caller& caller, bool is_in_time) {
   const Duration at = caller.first_at - (now() - time_.elapsed());
   const auto second = static_cast<std::size_t>(at / std::chrono::seconds(1));
-  std::vector<double>& counts = is_in_time ? outcome_.in_time_by_second : outcome_.asked_by_second;
+  std::vector<double>& counts = is_in_time ? outcome_.in_time_by_second : outcome_.sent_by_second;
   if (counts.size() <= second) counts.resize(second + 1);
   counts[second] += 1;
 }
 
 double Fleet::busiestOverMean() const {
-  std::map<std::size_t, std::pair<double, double>> by_service;  // Most and sum.
+  std::map<std::size_t, std::pair<double, double>> by_service;  // Maximum and sum.
   std::map<std::size_t, double> servers;
   for (const auto& node : nodes_) {
     auto& [most, sum] = by_service[node->service];
@@ -677,7 +683,7 @@
   for (std::size_t kind = 0; kind < scenario_.kinds.size(); ++kind) {
     if (scenario_.kinds[kind].per_second > 0) scheduleArrival(kind);
   }
-  if (scenario_.servers_gone > 0) after(scenario_.length / 3, [this] { endServers(); });
+  if (scenario_.leaving_fraction > 0) after(scenario_.length / 3, [this] { startLeaving(); });
   if (scenario_.power_loss > Duration(0)) after(scenario_.power_loss, [this] { losePower(); });
   time_.runUntil(scenario_.length + kTail);
   outcome_.busiest = busiestOverMean();
@@ -686,36 +692,36 @@
 
 }  // namespace
 
-double FleetOutcome::asked() const {
+double FleetOutcome::sent() const {
   double sum = 0;
-  for (const KindOutcome& kind : kinds) sum += kind.asked;
+  for (const KindOutcome& kind : kinds) sum += kind.sent;
   return sum;
 }
 
-double FleetOutcome::earnedPart() const {
-  double earned = 0;
-  double owed = 0;
+double FleetOutcome::earnedFraction() const {
+  double earned_utility = 0;
+  double possible_utility = 0;
   for (const KindOutcome& kind : kinds) {
-    earned += kind.earned;
-    owed += kind.owed;
+    earned_utility += kind.earned_utility;
+    possible_utility += kind.possible_utility;
   }
-  return owed > 0 ? earned / owed : 0;
+  return possible_utility > 0 ? earned_utility / possible_utility : 0;
 }
 
-double FleetOutcome::refusedPart() const {
+double FleetOutcome::refusedFraction() const {
   double refused = 0;
   for (const KindOutcome& kind : kinds) refused += kind.refused;
-  return refused / std::max(asked(), 1.0);
+  return refused / std::max(sent(), 1.0);
 }
 
-double FleetOutcome::latePart() const {
+double FleetOutcome::lateFraction() const {
   double late = 0;
   for (const KindOutcome& kind : kinds) late += kind.late;
-  return late / std::max(asked(), 1.0);
+  return late / std::max(sent(), 1.0);
 }
 
-FleetOutcome playFleet(const FleetScenario& scenario, const FleetPolicy& policy,
-                       std::uint64_t seed) {
+FleetOutcome runFleet(const FleetScenario& scenario, const FleetPolicy& policy,
+                      std::uint64_t seed) {
   return Fleet(scenario, policy, seed).run();
 }
 
