--- a/tests/repository_files.h
+++ b/tests/repository_files.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Lets a test hold a page of the repository against the code.
+/// Lets tests compare pages of the repository with the code.
 
 #include <doctest/doctest.h>
 
@@ -12,7 +12,8 @@
 
 namespace coursepond::testing {
 
-/// The path of a file below the repository's root. Tests run somewhere inside the repository.
+/// Returns the path of a file given relative to the repository's root. The working directory of
+/// the test must be inside the repository.
 inline std::filesystem::path findRepositoryFile(const std::filesystem::path& path) {
   std::filesystem::path folder = std::filesystem::current_path();
   while (!std::filesystem::exists(folder / path) && folder != folder.root_path()) {
@@ -29,8 +30,8 @@
   return text.str();
 }
 
-/// Checks that the page ends with `reference`, which begins with `marker`. With the environment
-/// variable COURSEPOND_UPDATE_PAGES set, the page is rewritten instead.
+/// Checks that the page, from the first occurrence of `marker` on, equals `reference`. If the
+/// environment variable COURSEPOND_UPDATE_PAGES is set, rewrites this part of the page instead.
 inline void checkPageEndsWith(const std::filesystem::path& path, const std::string& marker,
                               const std::string& reference) {
   const std::string page = readRepositoryFile(path);
--- a/tests/support/arrival_ledger.h
+++ b/tests/support/arrival_ledger.h
@@ -1,8 +1,9 @@
 #pragma once
 
-/// What servers saw, held against the operator's bound on repeats: within every window, the
-/// arrivals at a service beyond the first of each request, and those of calls that a repeated run
-/// makes, stay within a ratio of the requests for it plus a burst.
+/// Records requests and their arrivals at servers, to check the operator's bound on repeats: in
+/// every time window, the repeats at a service may not exceed a ratio of the requests for it plus a
+/// burst. Repeats are all arrivals of a request after the first one, and all arrivals of calls made
+/// by a repeated run.
 
 #include <algorithm>
 #include <cstddef>
@@ -15,14 +16,14 @@
 
 namespace coursepond::testing {
 
-/// The bound on repeats, as operators state it.
+/// The bound on repeats as operators define it.
 struct RepeatBound {
   double ratio = 0.2;
   double burst = 62;
   Duration window = std::chrono::seconds(10);
 };
 
-/// The window that came closest to its bound, or went furthest beyond it.
+/// The window with the largest excess over the bound, or the smallest margin below it.
 struct WorstWindow {
   std::size_t repeats = 0;
   double allowed = 0;
@@ -31,14 +32,14 @@
 
 class ArrivalLedger {
  public:
-  /// A caller or a server wants `service`, whether the request arrives or not.
-  void noteRequest(const std::string& service, TimePoint now) {
+  /// Records that a caller or server requests `service`, whether the request arrives or not.
+  void recordRequest(const std::string& service, TimePoint now) {
     services_[service].requests.push_back(now);
   }
 
-  /// Returns whether it counts as a repeat.
-  bool noteArrival(const std::string& service, const std::string& request, bool parent_is_repeat,
-                   TimePoint now) {
+  /// Records an arrival at a server. Returns whether it counts as a repeat.
+  bool recordArrival(const std::string& service, const std::string& request, bool parent_is_repeat,
+                     TimePoint now) {
     Service& seen = services_[service];
     const bool is_first = seen.arrived.insert(request).second;
     const bool is_repeat = !is_first || parent_is_repeat;
@@ -48,7 +49,7 @@
 
   std::size_t repeats(const std::string& service) { return services_[service].repeats.size(); }
 
-  /// Over all windows that end with a repeat.
+  /// Returns the worst of all windows that end with a repeat.
   WorstWindow worst(const std::string& service, const RepeatBound& bound) {
     const Service& seen = services_[service];
     WorstWindow worst;
@@ -74,7 +75,7 @@
     std::set<std::string> arrived;
   };
 
-  /// After `begin`, up to `end`; `times` rise.
+  /// Returns how many of the sorted `times` are in the interval (begin, end].
   static std::size_t countBetween(const std::vector<TimePoint>& times, TimePoint begin,
                                   TimePoint end) {
     const auto first = std::upper_bound(times.begin(), times.end(), begin);
@@ -82,7 +83,8 @@
     return static_cast<std::size_t>(last - first);
   }
 
-  /// In the window, in the one before it, or half a window before it, whichever holds most.
+  /// Returns the highest number of requests in this window, the one that begins half a window
+  /// earlier and the one that begins a whole window earlier.
   static double mostRequests(const Service& seen, TimePoint begin, Duration window) {
     std::size_t most = 0;
     for (const Duration back : {Duration(0), window / 2, window}) {
--- a/tests/support/exchange_io.h
+++ b/tests/support/exchange_io.h
@@ -9,7 +9,7 @@
 
 namespace coursepond::proxy {
 
-/// The I/O layer of one exchange in a test: records what the exchange asks for.
+/// Fake I/O layer of one exchange: records the calls that the exchange makes.
 class ExchangeIo final : public RequestIo {
  public:
   void startAttempt(const AttemptPlan& plan) override { plans.push_back(plan); }
@@ -27,7 +27,7 @@
   bool bytes_sent = true;
 };
 
-/// One exchange and the I/O layer around it.
+/// One exchange and its fake I/O layer.
 struct TestExchange {
   ExchangeIo io;
   std::unique_ptr<Exchange> flow;
@@ -40,7 +40,7 @@
   void answer(AnswerHead head) { flow->onAnswerHead(plan().id, head); }
   void fail(AttemptFailure failure) { flow->onAttemptFailed(plan().id, failure); }
 
-  /// A proper answer of a server.
+  /// Returns the head of a valid, signed answer of a server.
   static AnswerHead properHead(const std::string& id, int status = 200) {
     AnswerHead head;
     head.status = status;
--- a/tests/support/fake_platform.h
+++ b/tests/support/fake_platform.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// The platform's service on a virtual clock, with outages, staleness and malformed answers.
+/// A fake of the platform's service on a virtual clock, with outages, staleness and malformed
+/// answers.
 
 #include <map>
 #include <string>
@@ -12,7 +13,7 @@
 
 namespace coursepond::testing {
 
-/// What the platform holds and how it behaves; shared by the clients of all nodes.
+/// Contents and behavior of the platform, shared by the clients of all nodes.
 struct FakePlatform {
   enum class Mode { kUp, kDown, kSilent };
 
@@ -40,7 +41,8 @@
   std::uint64_t reads() const { return newest_reads + document_reads + machine_reads; }
 };
 
-/// One node's client. Its answers wait while the node is paused.
+/// The platform client of one node. Answers that arrive while the node is paused are delivered when
+/// the pause ends.
 class FakePlatformClient final : public source::PlatformClient {
  public:
   FakePlatformClient(FakePlatform& platform, VirtualEnvironment& environment)
@@ -95,7 +97,8 @@
   VirtualEnvironment& environment_;
 };
 
-/// A valid document with one route per name, all of one service, whose requests carry one secret.
+/// Returns a valid configuration document with one route per name. All routes lead to the same
+/// service and add the same secret to their requests.
 inline std::string documentText(std::uint64_t version, const std::vector<std::string>& routes,
                                 const std::string& secret_value = "first-secret-value") {
   std::string text = "{\"version\":" + std::to_string(version) + ",\"routes\":[";
--- a/tests/support/limited_link.h
+++ b/tests/support/limited_link.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// A link of limited bandwidth between a client and a server on loopback: a TCP proxy that passes a
-/// number of bytes a second back to the clients, shared by all connections, as one slow network
-/// interface would. Requests pass at once.
+/// A link with limited bandwidth between clients and a server on loopback. It is a TCP proxy that
+/// limits the bytes per second towards the clients. All connections share this limit, as on one
+/// slow network interface. Traffic towards the server isn't limited.
 
 #include <algorithm>
 #include <array>
@@ -22,22 +22,23 @@
  public:
   using Tcp = boost::asio::ip::tcp;
 
-  LimitedLink(boost::asio::io_context& context, const Address& server, std::uint64_t bytes_a_second)
+  LimitedLink(boost::asio::io_context& context, const Address& server,
+              std::uint64_t bytes_per_second)
       : context_(context),
         server_(boost::asio::ip::make_address(server.host), server.port),
-        bytes_a_second_(bytes_a_second),
+        bytes_per_second_(bytes_per_second),
         acceptor_(context, Tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0)) {
     accept();
   }
 
   Address address() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
-  void setBytesASecond(std::uint64_t bytes) { bytes_a_second_ = bytes; }
-  /// Towards the clients, all connections together.
+  void setBytesPerSecond(std::uint64_t bytes) { bytes_per_second_ = bytes; }
+  /// Number of bytes passed towards the clients, over all connections.
   std::uint64_t bytesPassed() const { return bytes_passed_; }
 
  private:
   using Clock = std::chrono::steady_clock;
-  /// What the link passes at a time, of one connection after the other.
+  /// Maximum number of bytes that the link passes at a time for one connection.
   static constexpr std::size_t kPieceBytes = 4096;
 
   struct Pair {
@@ -90,9 +91,10 @@
                                  });
   }
 
-  /// Writes a piece to the client when the link has passed it: pieces go one after the other.
+  /// Writes the bytes to the client once the link has had time to transmit them. Pieces of all
+  /// connections are transmitted one after the other.
   void deliver(const PairPointer& pair, std::size_t size) {
-    const std::chrono::nanoseconds span(size * 1'000'000'000 / bytes_a_second_);
+    const std::chrono::nanoseconds span(size * 1'000'000'000 / bytes_per_second_);
     free_at_ = std::max(free_at_, Clock::now()) + span;
     bytes_passed_ += size;
     pair->timer.expires_at(free_at_);
@@ -107,7 +109,7 @@
 
   boost::asio::io_context& context_;
   Tcp::endpoint server_;
-  std::uint64_t bytes_a_second_;
+  std::uint64_t bytes_per_second_;
   std::uint64_t bytes_passed_ = 0;
   Clock::time_point free_at_;
   Tcp::acceptor acceptor_;
--- a/tests/support/loopback_bench.h
+++ b/tests/support/loopback_bench.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What tests over real sockets share: one io_context, a client, and waiting for what has to
-/// happen.
+/// Common parts of tests with real sockets: an io_context, an HTTP client, and a function that
+/// waits for a condition.
 
 #include <doctest/doctest.h>
 
@@ -19,14 +19,15 @@
 
 class LoopbackBench {
  public:
-  /// Runs the io_context until `reached` holds. False after a time that only a fault lets pass.
+  /// Runs the io_context until `reached` returns true. Returns false after kWaitTimeout, which is
+  /// long enough that only a fault exceeds it.
   bool runUntil(const std::function<bool()>& reached) {
-    const auto deadline = std::chrono::steady_clock::now() + kPatience;
+    const auto deadline = std::chrono::steady_clock::now() + kWaitTimeout;
     while (!reached() && std::chrono::steady_clock::now() < deadline) context_.run_for(kStep);
     return reached();
   }
 
-  /// Sends a request and waits for its answer.
+  /// Sends a request, waits for the response and returns it.
   runtime::HttpClientResponse call(const Address& address, runtime::HttpClientRequest request) {
     std::optional<Result<runtime::HttpClientResponse>> response;
     client_.request(address, std::move(request), kCallTimeout,
@@ -39,9 +40,9 @@
   boost::asio::io_context& context() { return context_; }
 
  protected:
-  /// A port that nothing listens on at this moment, at any address, other than `taken`. From below
-  /// the range that the system takes ports for outgoing connections from: one of that range may be
-  /// gone until the test listens on it.
+  /// Returns a port other than `taken` that currently has no listener on any address. The port is
+  /// below the system's ephemeral range, as an outgoing connection could otherwise take it before
+  /// the test listens on it.
   static std::uint16_t freePort(std::uint16_t taken = 0) {
     using Tcp = boost::asio::ip::tcp;
     static std::mt19937 engine{std::random_device{}()};
@@ -60,10 +61,10 @@
   runtime::HttpClient client_{context_};
 
  private:
-  /// Linux takes ports for outgoing connections from 32768 on, unless told otherwise.
+  /// The ephemeral port range of Linux begins at 32768 by default.
   static constexpr std::uint16_t kFirstPort = 10'000;
   static constexpr std::uint16_t kLastPort = 32'000;
-  static constexpr std::chrono::seconds kPatience{20};
+  static constexpr std::chrono::seconds kWaitTimeout{20};
   static constexpr std::chrono::seconds kCallTimeout{10};
   static constexpr std::chrono::milliseconds kStep{2};
 };
--- a/tests/support/node_settings.h
+++ b/tests/support/node_settings.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// The smallest settings file of a node.
+/// The settings file of a node with only the required settings.
 
 namespace coursepond::testing {
 
--- a/tests/support/simulated_mesh.h
+++ b/tests/support/simulated_mesh.h
@@ -1,10 +1,10 @@
 #pragma once
 
-/// A mesh of two-hop nodes in virtual time: each has the egress and the ingress of the product and
-/// a model of the server beside it, which makes calls of its own through its node. No sockets: what
-/// one side sends arrives at the other after a fixed delay. A request of a path that crashes
-/// servers ends the server that runs it, with all that runs beside; the server starts anew after a
-/// while.
+/// A mesh of two-hop nodes in virtual time. Each node has the production egress and ingress and a
+/// model of its server, which makes calls to other services through its node. There are no sockets:
+/// messages between nodes arrive after a fixed delay. A request with a crashing path crashes the
+/// server that runs it, and all other requests on that server are lost. The server restarts after
+/// kServerAway.
 
 #include <algorithm>
 #include <functional>
@@ -31,23 +31,24 @@
   std::string name;
   int servers = 1;
   Duration work = std::chrono::milliseconds(40);
-  /// Called by a run, all at once; the run fails when one of them does.
+  /// Service to which each run makes `calls_per_run` calls in parallel. The run fails if a call
+  /// fails.
   std::string calls = {};
   int calls_per_run = 0;
-  /// The part of the requests whose runs make calls: the same ones each time they run.
+  /// Fraction of the requests that make calls. A request makes them either in each run or in none.
   double calling_share = 1;
-  /// The part of the runs whose answer is lost with the connection.
+  /// Fraction of the runs whose answer is lost because the connection breaks.
   double answers_lost = 0;
-  /// The part of the requests that a server rejects without running them, though it is not full.
+  /// Fraction of the requests that a server rejects without running them, although it isn't full.
   double rejected = 0;
 };
 
-/// What a request that crashes servers did, in the order of time.
+/// Arrivals and crashes of one crashing request, in order of time.
 struct CrashRecord {
-  std::vector<TimePoint> arrivals;  ///< At servers.
+  std::vector<TimePoint> arrivals;  ///< Arrivals at servers.
   std::vector<TimePoint> crashes;
 
-  /// Arrivals later than `settled` after the third server ended under it.
+  /// Returns the number of arrivals later than `settled` after the third crash.
   std::size_t arrivalsOnceKnown(Duration settled) const {
     if (crashes.size() < 3) return 0;
     const TimePoint known = crashes[2] + settled;
@@ -58,16 +59,16 @@
 
 class SimulatedMesh {
  public:
-  /// From the start of a run that crashes its server to the server's end.
+  /// Time from the start of a crashing run to the crash.
   static constexpr Duration kCrashDelay = std::chrono::milliseconds(50);
-  /// Until the server is back, under another id.
+  /// Time from a crash until the server is back with a new id.
   static constexpr Duration kServerAway = std::chrono::seconds(3);
   static constexpr Duration kHopDelay = std::chrono::milliseconds(1);
   static constexpr std::uint32_t kSlots = 24;
   static constexpr std::uint32_t kMaxAttempts = 3;
   static constexpr Duration kCallDeadline = std::chrono::milliseconds(400);
 
-  /// `child_ids`: a call's id is its parent's, a dot and a part of its own.
+  /// With `child_ids`, the id of a call is the id of its parent, a dot and a unique suffix.
   SimulatedMesh(const std::vector<ServiceModel>& services, std::uint64_t seed,
                 bool child_ids = true)
       : environment_(seed), random_(seed), has_child_ids_(child_ids) {
@@ -81,11 +82,11 @@
   ServiceModel& model(const std::string& service) { return models_[service]; }
   ArrivalLedger& ledger() { return ledger_; }
   std::size_t nodes() const { return nodes_.size(); }
-  /// Requests of callers (not calls) that got this status.
+  /// Returns the number of requests of callers (not calls) answered with this status.
   int answered(int status) { return answered_[status]; }
 
-  /// Callers send `per_second` requests for `service`, evenly spaced, by turns at all nodes.
-  /// `alike`: all have the same path, so that servers cannot tell one from another.
+  /// Makes callers send `per_second` evenly spaced requests for `service`, round robin over all
+  /// nodes. With `alike`, all requests have the same path and so the same fingerprint.
   void load(const std::string& service, int per_second, bool alike = false) {
     const Duration gap = Duration(std::chrono::seconds(1)) / per_second;
     environment_.schedule(gap, [this, service, per_second, alike] {
@@ -98,8 +99,8 @@
     });
   }
 
-  /// A caller sends a request for `service` that crashes each server that runs it, `gap` after
-  /// `gap`, each time as a new request through the next node.
+  /// Makes a caller send a crashing request for `service` at intervals of `gap`, each time as a new
+  /// request through the next node.
   void loadCrashing(const std::string& service, Duration gap) {
     crash_records_["/" + service + "/crash"];
     environment_.schedule(gap, [this, service, gap] {
@@ -107,7 +108,7 @@
       loadCrashing(service, gap);
     });
   }
-  /// One such request, through the node of this index.
+  /// Sends one crashing request through the node with this index.
   void sendCrashing(const std::string& service, std::size_t index) {
     const std::string path = "/" + service + "/crash";
     crash_records_[path];
@@ -118,10 +119,10 @@
   const CrashRecord& crashRecord(const std::string& service) const {
     return crash_records_.at("/" + service + "/crash");
   }
-  /// Requests that crash servers that got this status.
+  /// Returns the number of crashing requests answered with this status.
   int crashingAnswered(int status) { return crashing_answered_[status]; }
 
-  /// The node's gossip reaches nobody, and nobody's reaches it, until the next call with false.
+  /// Disconnects the node from the gossip of all others, in both directions, or reconnects it.
   void cutGossip(std::size_t index, bool is_cut) { nodes_[index]->is_gossip_cut = is_cut; }
   const admission::CrashSuspects& suspects(std::size_t index) const {
     return nodes_[index]->suspects;
@@ -129,28 +130,29 @@
   static RequestFingerprint fingerprintOfPath(const std::string& path) {
     return fingerprintOf({"GET", "mesh", path, {}, {}});
   }
-  /// What `load()` with `alike` sends for this service, as nodes tell it.
+  /// Returns the fingerprint of the requests that `load()` with `alike` sends for this service.
   static RequestFingerprint fingerprintOfAlike(const std::string& service) {
     return fingerprintOfPath("/" + service + "/all");
   }
 
-  /// The server beside the node ends at once; it is back after kServerAway.
+  /// Crashes the server of this node immediately. The server is back after kServerAway.
   void crashServer(std::size_t index) { crash(*nodes_[index]); }
 
   void run(Duration span) { environment_.advance(span); }
 
-  /// The node's process ends and starts again. What it began goes on to its end, as if it were
-  /// another one's: only what the node knew is lost.
+  /// Restarts the node's process, which loses its state. Requests that it has begun continue to
+  /// their end in the old instance.
   void restart(std::size_t index) {
     Node& old = *nodes_[index];
     auto fresh = std::make_unique<Node>(*this, old.service, old.entry, environment_);
     fresh->is_server_up = old.is_server_up;
-    retired_.push_back(std::move(nodes_[index]));
+    old_nodes_.push_back(std::move(nodes_[index]));
     nodes_[index] = std::move(fresh);
     begin(*nodes_[index]);
   }
 
-  /// Only these first nodes are listed from now on; the others are forgotten when they have lapsed.
+  /// Lists only the first `count` nodes from now on. The entries of the others lapse and are then
+  /// forgotten.
   void listOnly(std::size_t count) {
     for (const auto& node : nodes_) list(*node, count);
     environment_.schedule(std::chrono::seconds(2), [this] {
@@ -169,7 +171,7 @@
   class Hop;
   struct Node;
 
-  /// Carries a node's gossip to the others.
+  /// Sends the gossip of one node to its peers.
   class GossipLink final : public admission::SuspectPeers {
    public:
     GossipLink(SimulatedMesh& mesh, Node& node) : mesh_(mesh), node_(node) {}
@@ -220,14 +222,14 @@
     bool is_gossip_cut = false;
     bool is_server_up = true;
     int server_starts = 1;
-    std::set<Hop*> at_server;  ///< What runs there.
+    std::set<Hop*> at_server;  ///< Requests that run at the server.
   };
 
-  /// A request at the egress of the node where it begins.
-  class Begun final : public proxy::RequestIo {
+  /// A request at the egress of the node that received it from a caller or server.
+  class EgressRequest final : public proxy::RequestIo {
    public:
-    Begun(SimulatedMesh& mesh, Node& node, std::string path, std::string id,
-          std::function<void(int)> done, bool parent_is_repeat)
+    EgressRequest(SimulatedMesh& mesh, Node& node, std::string path, std::string id,
+                  std::function<void(int)> done, bool parent_is_repeat)
         : mesh_(mesh),
           node_(node),
           path_(std::move(path)),
@@ -283,11 +285,11 @@
     std::map<proxy::AttemptId, Hop*> hops_;
   };
 
-  /// One attempt at the ingress of another node, and its run at the server there.
+  /// One attempt at the ingress of the target node, and its run at the server there.
   class Hop final : public proxy::RequestIo {
    public:
-    Hop(SimulatedMesh& mesh, Node& node, Begun& origin, proxy::AttemptPlan plan, std::string id,
-        bool parent_is_repeat)
+    Hop(SimulatedMesh& mesh, Node& node, EgressRequest& origin, proxy::AttemptPlan plan,
+        std::string id, bool parent_is_repeat)
         : mesh_(mesh),
           node_(node),
           origin_(origin),
@@ -317,7 +319,7 @@
       run_ = plan.id;
       if (!node_.is_server_up) return fail(plan.id, proxy::AttemptFailure::kConnectFailed);
       node_.at_server.insert(this);
-      if (CrashRecord* const record = mesh_.recordOf(origin_.path())) {
+      if (CrashRecord* const record = mesh_.crashRecordOf(origin_.path())) {
         record->arrivals.push_back(mesh_.now());
         mesh_.environment_.schedule(kCrashDelay, [this, run = plan.id, record] {
           if (run_ != run) return;
@@ -327,12 +329,12 @@
         return;
       }
       const std::string& service = node_.service;
-      is_repeat_ = mesh_.ledger_.noteArrival(service, id_, parent_is_repeat_, mesh_.now());
+      is_repeat_ = mesh_.ledger_.recordArrival(service, id_, parent_is_repeat_, mesh_.now());
       const ServiceModel& model = mesh_.models_[service];
       if (mesh_.chance(model.rejected)) return reject(plan.id);
       mesh_.environment_.schedule(model.work, [this, run = plan.id] { afterWork(run); });
     }
-    /// The server ended with the request on it.
+    /// Called when the server crashes while it runs the request.
     void onServerCrashed() {
       const proxy::AttemptId run = std::exchange(run_, 0);
       flow_->onAttemptFailed(run, proxy::AttemptFailure::kLostAfterSend);
@@ -396,7 +398,7 @@
     void afterWork(proxy::AttemptId run) {
       if (run_ != run) return;
       const ServiceModel& model = mesh_.models_[node_.service];
-      const bool is_calling = !model.calls.empty() && mesh_.shareOf(id_) < model.calling_share;
+      const bool is_calling = !model.calls.empty() && mesh_.fractionOf(id_) < model.calling_share;
       calls_open_ = is_calling ? model.calls_per_run : 0;
       if (calls_open_ == 0) return end(run);
       for (int number = 0; number < model.calls_per_run; ++number) {
@@ -428,7 +430,7 @@
 
     SimulatedMesh& mesh_;
     Node& node_;
-    Begun& origin_;
+    EgressRequest& origin_;
     proxy::AttemptPlan plan_;
     std::string id_;
     bool parent_is_repeat_;
@@ -471,7 +473,7 @@
     node.ingress.setServer(node.entry);
     list(node, nodes_.size());
     ingress::ServerEndWatch& ends = node.ingress.serverEnds();
-    ends.onPortWanted([this, &node] { lookAtPort(node); });
+    ends.onPortWanted([this, &node] { probePort(node); });
     ends.onEnd([this, &node](ServerEndId end, std::span<const RequestFingerprint> requests) {
       node.suspects.onServerEnd(end, requests, now());
     });
@@ -479,13 +481,13 @@
     std::vector<std::string> others;
     for (const auto& each : nodes_) {
       if (each.get() == &node) continue;
-      const bool is_near = each->entry.zone == node.entry.zone;
-      (is_near ? own_zone : others).push_back(each->entry.address.host);
+      const bool is_same_zone = each->entry.zone == node.entry.zone;
+      (is_same_zone ? own_zone : others).push_back(each->entry.address.host);
     }
     node.gossip.setPeers(std::move(own_zone), std::move(others));
   }
 
-  void lookAtPort(Node& node) {
+  void probePort(Node& node) {
     environment_.schedule(kHopDelay, [this, &node] {
       const bool is_open = node.is_server_up;
       node.ingress.serverEnds().onPort(
@@ -503,14 +505,14 @@
   void request(Node& node, const std::string& service, const std::string& path,
                const std::string& id, Duration deadline, std::function<void(int)> done,
                bool parent_is_repeat = false) {
-    if (!parent_is_repeat) ledger_.noteRequest(service, now());
-    begun_.push_back(
-        std::make_unique<Begun>(*this, node, path, id, std::move(done), parent_is_repeat));
-    begun_.back()->start(deadline);
+    if (!parent_is_repeat) ledger_.recordRequest(service, now());
+    egress_requests_.push_back(
+        std::make_unique<EgressRequest>(*this, node, path, id, std::move(done), parent_is_repeat));
+    egress_requests_.back()->start(deadline);
   }
 
-  /// Null for a request that crashes nothing.
-  CrashRecord* recordOf(const std::string& path) {
+  /// Returns null if the path isn't a crashing one.
+  CrashRecord* crashRecordOf(const std::string& path) {
     const auto found = crash_records_.find(path);
     return found == crash_records_.end() ? nullptr : &found->second;
   }
@@ -519,10 +521,10 @@
     if (!node.is_server_up) return;
     node.is_server_up = false;
     for (Hop* const hop : std::exchange(node.at_server, {})) hop->onServerCrashed();
-    environment_.schedule(kServerAway, [this, &node] { startServerAnew(node); });
+    environment_.schedule(kServerAway, [this, &node] { restartServer(node); });
   }
 
-  void startServerAnew(Node& node) {
+  void restartServer(Node& node) {
     node.is_server_up = true;
     ++node.server_starts;
     node.entry.id = EndpointId(node.entry.id.value().substr(0, node.entry.id.value().find('-')) +
@@ -542,8 +544,8 @@
 
   TimePoint now() const { return environment_.now(); }
   bool chance(double share) { return std::uniform_real_distribution<>(0, 1)(random_) < share; }
-  /// The same for each run of a request, evenly from 0 to 1.
-  static double shareOf(const std::string& id) {
+  /// Returns a number evenly distributed from 0 to 1 that is the same for each run of a request.
+  static double fractionOf(const std::string& id) {
     return static_cast<double>(std::hash<std::string>()(id) % 1000) / 1000;
   }
   std::string idOfCall(const std::string& parent) {
@@ -556,8 +558,8 @@
   bool has_child_ids_;
   std::map<std::string, ServiceModel> models_;
   std::vector<std::unique_ptr<Node>> nodes_;
-  std::vector<std::unique_ptr<Node>> retired_;
-  std::vector<std::unique_ptr<Begun>> begun_;
+  std::vector<std::unique_ptr<Node>> old_nodes_;
+  std::vector<std::unique_ptr<EgressRequest>> egress_requests_;
   std::vector<std::unique_ptr<Hop>> hops_;
   ArrivalLedger ledger_;
   std::map<std::string, CrashRecord> crash_records_;  ///< By path.
@@ -580,7 +582,7 @@
   });
 }
 
-inline void SimulatedMesh::Begun::startAttempt(const proxy::AttemptPlan& plan) {
+inline void SimulatedMesh::EgressRequest::startAttempt(const proxy::AttemptPlan& plan) {
   Node& target = mesh_.nodeAt(plan.endpoint.address.host);
   mesh_.hops_.push_back(std::make_unique<Hop>(mesh_, target, *this, plan, id_, parent_is_repeat_));
   Hop* const hop = mesh_.hops_.back().get();
@@ -588,7 +590,7 @@
   mesh_.environment_.schedule(kHopDelay, [hop] { hop->arrive(); });
 }
 
-inline void SimulatedMesh::Begun::cancelAttempt(proxy::AttemptId attempt) {
+inline void SimulatedMesh::EgressRequest::cancelAttempt(proxy::AttemptId attempt) {
   Hop* const hop = hops_[attempt];
   mesh_.environment_.schedule(kHopDelay, [hop] { hop->cancel(); });
 }
--- a/tests/support/virtual_environment.h
+++ b/tests/support/virtual_environment.h
@@ -9,7 +9,7 @@
 
 namespace coursepond::proxy {
 
-/// An Environment whose time stands still until a test moves it.
+/// An Environment whose time only advances when the test advances it.
 class VirtualEnvironment final : public Environment {
  public:
   explicit VirtualEnvironment(std::uint64_t seed = 1) : engine_(seed) {}
@@ -32,7 +32,7 @@
 
   std::uint64_t random(std::uint64_t bound) override { return engine_() % bound; }
 
-  /// Moves the time on, running what falls due.
+  /// Advances the time and runs the timers that become due.
   void advance(Duration span) {
     const TimePoint end = now_ + span;
     while (runNext(end)) {
@@ -40,10 +40,10 @@
     now_ = end;
   }
 
-  /// Moves the time on without running anything: the process was paused.
+  /// Advances the time without running timers, as if the process had been paused.
   void pause(Duration span) { now_ += span; }
 
-  /// Runs until nothing is scheduled.
+  /// Runs timers until none is scheduled.
   void drain() {
     while (runNext(TimePoint::max())) {
     }
--- a/tests/support/virtual_network.h
+++ b/tests/support/virtual_network.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// A virtual clock, environments on it, and a network with faults, for tests of decision classes.
-/// Everything is a function of the seed.
+/// A virtual clock, environments that use it, and a network with faults, for deterministic tests of
+/// classes without I/O. A run depends only on the seed.
 
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
 
 namespace coursepond::testing {
 
-/// Events in the order of their time; those of one moment in the order they were added.
+/// Runs events in order of their time. Events with the same time run in the order they were added.
 class VirtualTime {
  public:
   using EventKey = std::pair<TimePoint, std::uint64_t>;
@@ -34,7 +34,7 @@
 
   void runFor(Duration length) { runUntil(now_ + length); }
 
-  /// Runs until `condition` holds; false when `limit` passed first.
+  /// Runs until `condition` returns true. Returns false if `limit` expires first.
   bool runUntilTrue(const std::function<bool()>& condition, Duration limit) {
     const TimePoint end = now_ + limit;
     while (!condition()) {
@@ -68,7 +68,7 @@
   std::map<EventKey, std::function<void()>> events_;
 };
 
-/// One process: its timers stop while it is paused and all fire when it wakes.
+/// Environment of one process. Timers that expire while it is paused fire when the pause ends.
 class VirtualEnvironment final : public Environment {
  public:
   VirtualEnvironment(VirtualTime& time, std::uint64_t seed) : time_(time), random_(seed) {}
@@ -119,12 +119,12 @@
   std::map<TimerId, VirtualTime::EventKey> timers_;
 };
 
-/// What the network does to messages.
+/// Faults and delays that the network applies to messages.
 struct NetworkFaults {
   std::uint32_t loss_percent = 0;
   std::uint32_t duplicate_percent = 0;
   Duration latency = std::chrono::milliseconds(1);
-  Duration jitter = std::chrono::milliseconds(1);  ///< Added at random; lets messages overtake.
+  Duration jitter = std::chrono::milliseconds(1);  ///< Maximum random delay; may reorder messages.
 };
 
 /// Delivers messages between registered nodes.
@@ -132,13 +132,13 @@
 class VirtualNetwork {
  public:
   using Receiver = std::function<void(const NodeId& from, const Message& message)>;
-  /// True: the message is dropped.
+  /// Returns true if the message is to be dropped.
   using Filter = std::function<bool(const NodeId& from, const NodeId& to, const Message& message)>;
 
   VirtualNetwork(VirtualTime& time, std::uint64_t seed) : time_(time), random_(seed) {}
 
   void add(const NodeId& node, VirtualEnvironment& environment, Receiver receiver) {
-    nodes_[node] = Node{&environment, std::move(receiver), ++lives_};
+    nodes_[node] = Node{&environment, std::move(receiver), ++last_incarnation_};
   }
   void remove(const NodeId& node) { nodes_.erase(node); }
 
@@ -157,7 +157,7 @@
     }
   }
 
-  /// A sender that belongs to one node.
+  /// Returns a sender whose messages come from this node.
   std::unique_ptr<MessageSender<Message>> senderOf(const NodeId& node) {
     return std::make_unique<Sender>(*this, node);
   }
@@ -166,7 +166,7 @@
   struct Node {
     VirtualEnvironment* environment = nullptr;
     Receiver receiver;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
   };
 
   class Sender final : public MessageSender<Message> {
@@ -190,18 +190,18 @@
     }
     const auto bound = static_cast<std::uint64_t>(faults_.jitter.count()) + 1;
     const Duration delay = faults_.latency + Duration(random_() % bound);
-    deliverAt(time_.now() + delay, node->second.life, from, to, message);
+    deliverAt(time_.now() + delay, node->second.incarnation, from, to, message);
   }
 
-  void deliverAt(TimePoint when, std::uint64_t life, const NodeId& from, const NodeId& to,
+  void deliverAt(TimePoint when, std::uint64_t incarnation, const NodeId& from, const NodeId& to,
                  const Message& message) {
-    time_.add(when, [this, life, from, to, message] {
+    time_.add(when, [this, incarnation, from, to, message] {
       const auto node = nodes_.find(to);
-      if (node == nodes_.end() || node->second.life != life) {
+      if (node == nodes_.end() || node->second.incarnation != incarnation) {
         return;
       }
       if (node->second.environment->paused()) {
-        deliverAt(node->second.environment->pausedUntil(), life, from, to, message);
+        deliverAt(node->second.environment->pausedUntil(), incarnation, from, to, message);
         return;
       }
       const Receiver receiver = node->second.receiver;
@@ -214,7 +214,7 @@
   NetworkFaults faults_;
   Filter filter_;
   std::uint64_t sent_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t last_incarnation_ = 0;
   std::map<NodeId, Node> nodes_;
 };
 
