--- a/src/runtime/caller_connection.h
+++ b/src/runtime/caller_connection.h
@@ -86,8 +86,8 @@
 
   /// Keeps this object alive while it has exchanges, even when no socket operation is pending.
   std::shared_ptr<CallerConnection> owner_;
-  std::deque<ExchangePointer>
-      exchanges_;         ///< Started and not finished, in the order of the requests.
+  /// Started and not finished, in the order of the requests.
+  std::deque<ExchangePointer> exchanges_;
   ExchangePointer next_;  ///< Its head is being read, or it waits to be started.
   std::optional<RefusalReason> next_refusal_;
   bool is_next_read_ = false;  ///< The head of next_ is complete or was refused.
--- a/src/runtime/caller_exchange.h
+++ b/src/runtime/caller_exchange.h
@@ -138,21 +138,21 @@
   bool close_after_ = false;
   bool replay_lost_ = false;   ///< The body exceeded the replay limit: no retry is possible.
   bool request_sent_ = false;  ///< The whole request was sent on the current attempt.
-  bool awaiting_identity_ =
-      false;             ///< Waits for the first part of the body, which identifies the request.
+  /// Waits for the first part of the body, which identifies the request.
+  bool awaiting_identity_ = false;
   TimePoint head_read_;  ///< When the head was complete.
   bool awaiting_body_ = false;
-  bool awaiting_confirmation_ =
-      false;  ///< The next hop has received the head; the body waits for its go-ahead.
+  /// The next hop has received the head; the body is sent after its 100 Continue.
+  bool awaiting_confirmation_ = false;
   bool awaiting_gate_ = false;  ///< See BodyGate.
   bool holds_gate_ = false;
-  bool awaiting_go_ahead_ =
-      false;  ///< Receipt was confirmed to the previous hop; its body is the go-ahead.
+  /// The previous hop was asked for the body; its first bytes are the go-ahead.
+  bool awaiting_go_ahead_ = false;
   bool continue_sent_ = false;
-  bool collecting_ =
-      false;  ///< The answer's head has arrived; the flow is notified when the answer is complete.
-  bool attempt_cancelled_ =
-      false;  ///< The flow abandoned the connection on which its answer arrived.
+  /// The answer's head has arrived; the flow is notified when the answer is complete.
+  bool collecting_ = false;
+  /// The flow abandoned the connection on which its answer arrived.
+  bool attempt_cancelled_ = false;
   bool forwarding_ = false;
   bool answer_complete_ = false;
 };
--- a/src/runtime/http_head_writer.h
+++ b/src/runtime/http_head_writer.h
@@ -35,8 +35,8 @@
   std::optional<proxy::HopLoad> hop_load;
   /// Set when the whole body is available: its length replaces the server's framing.
   std::optional<std::uint64_t> whole_length;
-  bool exact_retry_after =
-      false;  ///< Retry-After in fractions of a second instead of whole seconds.
+  /// Retry-After in fractions of a second instead of whole seconds.
+  bool exact_retry_after = false;
   std::string_view request_id;
   Version version;
   bool caller_is_http_1_1 = true;
--- a/src/runtime/http_parser.h
+++ b/src/runtime/http_parser.h
@@ -50,8 +50,8 @@
   bool is_http_1_1 = true;  ///< False for HTTP/1.0.
   bool keep_alive = true;   ///< The sender accepts another message on this connection.
   BodyFraming framing = BodyFraming::kNone;
-  std::uint64_t content_length =
-      0;  ///< With kLength; also the length announced by an answer without body.
+  /// With kLength; also the length announced by an answer without body.
+  std::uint64_t content_length = 0;
   bool has_content_length = false;
   FieldBlock fields;
 };
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -18,12 +18,12 @@
 struct HttpServerLimits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint64_t body_bytes = std::uint64_t{4} * 1024 * 1024;
-  Duration idle_timeout =
-      std::chrono::seconds(60);  ///< How long a kept connection may stay without a request.
-  Duration request_timeout =
-      std::chrono::seconds(10);  ///< From a request's first byte to its last.
-  Duration write_timeout = std::chrono::seconds(
-      10);  ///< How long the caller may take to accept a further piece of an answer.
+  /// How long a kept connection may stay without a request.
+  Duration idle_timeout = std::chrono::seconds(60);
+  /// From a request's first byte to its last.
+  Duration request_timeout = std::chrono::seconds(10);
+  /// How long the caller may take to accept a further piece of an answer.
+  Duration write_timeout = std::chrono::seconds(10);
   std::size_t connections = 1024;  ///< Further connections are closed when they arrive.
 };
 
--- a/src/runtime/peer_transport.h
+++ b/src/runtime/peer_transport.h
@@ -30,8 +30,8 @@
   std::uint64_t closed_stalled = 0;  ///< A write made no progress.
   std::uint64_t messages_replaced = 0;
   std::uint64_t dropped_queue_full = 0;
-  std::uint64_t dropped_unreachable =
-      0;  ///< Messages queued for a peer that could not be connected.
+  /// Messages queued for a peer that could not be connected.
+  std::uint64_t dropped_unreachable = 0;
   std::uint64_t dropped_no_address = 0;
   std::uint64_t refused_connection_limit = 0;
   std::uint64_t refused_handshake_timeout = 0;
--- a/src/runtime/proxy_server.h
+++ b/src/runtime/proxy_server.h
@@ -29,14 +29,14 @@
   std::uint32_t head_bytes = 16 * 1024;
   std::uint64_t body_bytes = 0;            ///< 0: any length, since bodies are streamed.
   std::uint32_t buffer_bytes = 32 * 1024;  ///< Size of the receive buffer per caller.
-  std::uint32_t replay_bytes =
-      64 * 1024;  ///< Leading bytes of a request body that are kept for a retry.
-  Duration idle_timeout =
-      std::chrono::seconds(60);  ///< How long a kept connection may stay without a request.
+  /// Leading bytes of a request body that are kept for a retry.
+  std::uint32_t replay_bytes = 64 * 1024;
+  /// How long a kept connection may stay without a request.
+  Duration idle_timeout = std::chrono::seconds(60);
   Duration head_timeout = std::chrono::seconds(10);  ///< From a head's first byte to its last.
   Duration body_timeout = std::chrono::seconds(10);  ///< Between two pieces of a request body.
-  Duration write_timeout = std::chrono::seconds(
-      10);  ///< How long the caller may take to accept one buffer of an answer.
+  /// How long the caller may take to accept one buffer of an answer.
+  Duration write_timeout = std::chrono::seconds(10);
   /// A planned stop still accepts requests on kept connections for this long, and each answer asks
   /// the caller to close. After that, idle connections are closed.
   Duration stop_grace = std::chrono::seconds(1);
--- a/src/runtime/settings.cpp
+++ b/src/runtime/settings.cpp
@@ -309,7 +309,7 @@
   }
 
   SettingsOutcome outcome_;
-  std::set<std::string> present_keys_;          ///< Keys that are present, valid or not.
+  std::set<std::string> present_keys_;          ///< Present keys, even if invalid or misspelt.
   std::map<std::string, std::uint32_t> lines_;  ///< Line of each accepted key.
 };
 
--- a/src/runtime/upstream_connection.h
+++ b/src/runtime/upstream_connection.h
@@ -20,13 +20,13 @@
   Duration idle_timeout = std::chrono::seconds(30);  ///< An idle connection is closed after this.
   /// Maximum pause within an answer that has started; after that the answer counts as cut.
   Duration answer_stall_timeout = std::chrono::seconds(10);
-  Duration discard_timeout =
-      std::chrono::milliseconds(500);  ///< Time limit for reading the rest of an unwanted answer.
+  /// Time limit for reading the rest of an unwanted answer.
+  Duration discard_timeout = std::chrono::milliseconds(500);
   std::uint32_t answer_head_bytes = 32 * 1024;
   std::uint32_t buffer_bytes = 32 * 1024;             ///< Maximum size of one read.
   const FieldTable* table = &FieldTable::standard();  ///< Must outlive the connections.
-  std::uint32_t discard_bytes =
-      16 * 1024;  ///< If more of an unwanted answer is left, its connection is closed.
+  /// If more of an unwanted answer is left, its connection is closed.
+  std::uint32_t discard_bytes = 16 * 1024;
 };
 
 /// How a connection failed its request.
@@ -74,8 +74,8 @@
   std::uint64_t reuses = 0;
   std::uint64_t closed_while_idle = 0;  ///< By the server, or because of the idle timeout.
   std::uint64_t abandoned = 0;          ///< Closed with a request in flight.
-  std::uint64_t over_budget =
-      0;  ///< Not opened because the server's connection budget was used up.
+  /// Not opened because the server's connection budget was used up.
+  std::uint64_t over_budget = 0;
 };
 
 class UpstreamConnection final : public std::enable_shared_from_this<UpstreamConnection>,
