--- a/tests/load/load_test.cpp
+++ b/tests/load/load_test.cpp
@@ -18,33 +18,33 @@
 
 using std::chrono::milliseconds;
 
-Judgement judgeStatus(unsigned status, const char* outcome) {
+Classification classifyStatus(unsigned status, const char* outcome) {
   Answer answer;
   answer.status = status;
   answer.outcome = outcome;
-  return judge({}, "a", ExchangeEnd::kAnswer, answer);
+  return classify({}, "a", ExchangeEnd::kAnswer, answer);
 }
 
-Judgement judgeBody(const std::string& id, const std::string& body) {
+Classification classifyBody(const std::string& id, const std::string& body) {
   RequestKind kind;
   kind.answer_bytes = 50;
   Answer answer;
   answer.status = 200;
   answer.request_id = id;
   answer.body = body;
-  return judge(kind, "a", ExchangeEnd::kAnswer, answer);
+  return classify(kind, "a", ExchangeEnd::kAnswer, answer);
 }
 
 }  // namespace
 
-TEST_CASE("percentiles are at most one bucket above the value") {
+TEST_CASE("percentiles are at most one bucket above the true value") {
   LatencyHistogram histogram;
   for (int value = 1; value <= 100000; ++value) histogram.record(Duration(value));
   CHECK(histogram.count() == 100000);
   CHECK(histogram.max() == Duration(100000));
-  for (const double part : {0.001, 0.5, 0.9, 0.99, 0.999, 1.0}) {
-    const double value = part * 100000;
-    const auto percentile = static_cast<double>(histogram.percentile(part).count());
+  for (const double quantile : {0.001, 0.5, 0.9, 0.99, 0.999, 1.0}) {
+    const double value = quantile * 100000;
+    const auto percentile = static_cast<double>(histogram.percentile(quantile).count());
     CHECK(percentile >= value);
     CHECK(percentile <= value * 1.016 + 1);
   }
@@ -57,7 +57,7 @@
   CHECK(LatencyHistogram().percentile(0.5) == Duration::zero());
 }
 
-TEST_CASE("request kinds are read, and a mix follows its weights in every run") {
+TEST_CASE("request kinds are parsed, and a mix follows its weights") {
   const auto lookup = parseRequestKind("3 GET freight.example /corridor?size=70&x=1", 200);
   REQUIRE(lookup.has_value());
   CHECK(lookup->answer_bytes == 70);
@@ -79,20 +79,20 @@
   CHECK(bookings < 2700);
 }
 
-TEST_CASE("an answer is judged by its own id, length, content and outcome header") {
-  CHECK(judgeBody("a", standin::makeAnswerBody("a", 50)).outcome == Outcome::kAnswered);
-  CHECK(judgeBody("a", standin::makeAnswerBody("a", 49)).outcome == Outcome::kShort);
-  CHECK(judgeBody("a", standin::makeAnswerBody("b", 50)).outcome == Outcome::kMixedUp);
-  CHECK(judgeBody("b", standin::makeAnswerBody("a", 50)).outcome == Outcome::kMixedUp);
-  CHECK(judgeStatus(503, http_headers::kOutcomeNotRun).outcome == Outcome::kNotRun);
-  CHECK(judgeStatus(502, http_headers::kOutcomeUnknown).outcome == Outcome::kUnknown);
-  CHECK(judgeStatus(500, "").outcome == Outcome::kUnknown);
-  CHECK(judge({}, "a", ExchangeEnd::kCutAnswer, {}).outcome == Outcome::kCut);
-  CHECK(judge({}, "a", ExchangeEnd::kTimeout, {}).outcome == Outcome::kNoAnswer);
-  CHECK(judge({}, "a", ExchangeEnd::kConnectFailed, {}).outcome == Outcome::kNotSent);
+TEST_CASE("an answer is classified by its request id, body and outcome header") {
+  CHECK(classifyBody("a", standin::makeAnswerBody("a", 50)).outcome == Outcome::kAnswered);
+  CHECK(classifyBody("a", standin::makeAnswerBody("a", 49)).outcome == Outcome::kShort);
+  CHECK(classifyBody("a", standin::makeAnswerBody("b", 50)).outcome == Outcome::kMixedUp);
+  CHECK(classifyBody("b", standin::makeAnswerBody("a", 50)).outcome == Outcome::kMixedUp);
+  CHECK(classifyStatus(503, http_headers::kOutcomeNotRun).outcome == Outcome::kNotRun);
+  CHECK(classifyStatus(502, http_headers::kOutcomeUnknown).outcome == Outcome::kUnknown);
+  CHECK(classifyStatus(500, "").outcome == Outcome::kUnknown);
+  CHECK(classify({}, "a", ExchangeEnd::kCutAnswer, {}).outcome == Outcome::kCut);
+  CHECK(classify({}, "a", ExchangeEnd::kTimeout, {}).outcome == Outcome::kNoAnswer);
+  CHECK(classify({}, "a", ExchangeEnd::kConnectFailed, {}).outcome == Outcome::kNotSent);
 }
 
-TEST_CASE("each broken promise is found in the journals") {
+TEST_CASE("every violated guarantee is detected from the outcomes and the journals") {
   RunResult result;
   result.records = {
       {0, Outcome::kAnswered, true}, {1, Outcome::kAnswered, true}, {2, Outcome::kNotRun, true},
@@ -112,7 +112,7 @@
   CHECK(verify(result, "p", nullptr).violations() == 2);
 }
 
-TEST_CASE("a run sends its whole schedule, fails over and counts a stall from the schedule") {
+TEST_CASE("a run sends its whole schedule, fails over and includes stalls in the latency") {
   boost::asio::io_context context;
   runtime::AsioEnvironment environment(context);
   std::uint64_t handled = 0;
@@ -144,8 +144,8 @@
   CHECK(result.count(Outcome::kAnswered) == 100);
   CHECK(result.failovers == 50);
   CHECK(result.versions.at(formatAddress(address)).highest == Version(3));
-  // The only connection is stalled until 100 ms at the earliest, so the request of number N waits
-  // at least 100 - N ms: half of all wait 50 ms or more.
+  // The only connection stalls until at least 100 ms, so request number N waits for at least
+  // 100 - N ms, and half of all requests wait for 50 ms or more.
   CHECK(result.answered_latency.percentile(0.51) >= milliseconds(50));
   CHECK(result.answered_latency.max() >= milliseconds(100));
 }
--- a/tools/load/journal_reader.cpp
+++ b/tools/load/journal_reader.cpp
@@ -27,8 +27,8 @@
   context.run();
   if (!outcome->has_value()) return outcome->error();
   if ((*outcome)->status != kOk) {
-    return Error{ErrorKind::kUnavailable, "no journal at " + formatAddress(address),
-                 "name the addresses of back ends"};
+    return Error{ErrorKind::kUnavailable, "cannot read a journal from " + formatAddress(address),
+                 "pass only addresses of back ends"};
   }
   return std::move((*outcome)->body);
 }
@@ -38,7 +38,7 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file.is_open()) {
-    return Error{ErrorKind::kNotFound, "cannot read the journal " + path, "check the path"};
+    return Error{ErrorKind::kNotFound, "cannot open the journal file " + path, "check the path"};
   }
   return text.str();
 }
--- a/tools/load/journal_reader.h
+++ b/tools/load/journal_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Collects the back ends' journals after a run.
+/// Reads the journals of the back ends after a run and merges them.
 
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace coursepond::load {
 
-/// Where journals are: running back ends, and files that killed ones have left.
+/// Where to read journals: running back ends over HTTP, and the journal files of killed ones.
 struct JournalSources {
   std::vector<Address> back_ends;
   std::vector<std::string> files;
@@ -18,8 +18,8 @@
   bool empty() const { return back_ends.empty() && files.empty(); }
 };
 
-/// All journals added up. Fails when one cannot be read, since a check against a part would
-/// report losses that are none.
+/// Returns the merged entries of all journals. Fails when a journal cannot be read, because a check
+/// against an incomplete set would report requests as lost that were not.
 Result<standin::JournalEntries> readJournals(const JournalSources& sources);
 
 }  // namespace coursepond::load
--- a/tools/load/latency_histogram.cpp
+++ b/tools/load/latency_histogram.cpp
@@ -35,8 +35,8 @@
   max_ = std::max(max_, other.max_);
 }
 
-Duration LatencyHistogram::percentile(double part) const {
-  const auto wanted = static_cast<std::uint64_t>(std::ceil(part * static_cast<double>(count_)));
+Duration LatencyHistogram::percentile(double quantile) const {
+  const auto wanted = static_cast<std::uint64_t>(std::ceil(quantile * static_cast<double>(count_)));
   std::uint64_t seen = 0;
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
     seen += buckets_[bucket];
--- a/tools/load/latency_histogram.h
+++ b/tools/load/latency_histogram.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Latencies in log-linear buckets: each power of two of microseconds is divided into 64 equal
-/// buckets, so that a percentile is at most 1.6 % above the true value. Memory does not grow.
+/// Records latencies in log-linear buckets: each power of two of microseconds is divided into 64
+/// equal buckets, so a percentile is at most 1.6 % above the true value. Memory use is constant.
 
 #include <array>
 #include <cstdint>
@@ -18,9 +18,9 @@
 
   std::uint64_t count() const { return count_; }
   Duration max() const { return max_; }
-  /// The smallest recorded bucket bound that is not below `part` (0 to 1) of all values, at most
-  /// max(). Zero when nothing was recorded.
-  Duration percentile(double part) const;
+  /// Returns the upper bound of the first bucket at or below which at least `quantile` (0 to 1) of
+  /// all values lie, at most max(). Returns zero when nothing was recorded.
+  Duration percentile(double quantile) const;
 
  private:
   static constexpr unsigned kSubBucketBits = 6;
--- a/tools/load/load_connection.cpp
+++ b/tools/load/load_connection.cpp
@@ -105,7 +105,7 @@
   void write() {
     http::async_write(socket_, message_,
                       [self = shared_from_this()](error_code error, std::size_t) {
-                        if (error) return self->finish(self->closedEnd());
+                        if (error) return self->finish(self->endWhenClosed());
                         self->read();
                       });
   }
@@ -117,12 +117,12 @@
                      [self = shared_from_this()](error_code error, std::size_t) {
                        if (!error) return self->finish(ExchangeEnd::kAnswer);
                        const bool began = self->parser_->is_header_done();
-                       self->finish(began ? ExchangeEnd::kCutAnswer : self->closedEnd());
+                       self->finish(began ? ExchangeEnd::kCutAnswer : self->endWhenClosed());
                      });
   }
 
-  ExchangeEnd closedEnd() const {
-    return answers_ > 0 ? ExchangeEnd::kClosedReused : ExchangeEnd::kClosed;
+  ExchangeEnd endWhenClosed() const {
+    return exchanges_ > 0 ? ExchangeEnd::kClosedReused : ExchangeEnd::kClosed;
   }
 
   void timeOut() {
@@ -135,7 +135,7 @@
     if (timer_ != 0) environment_.cancel(std::exchange(timer_, 0));
     Answer answer;
     if (end == ExchangeEnd::kAnswer) answer = makeAnswer(parser_->release());
-    ++answers_;
+    ++exchanges_;
     if (end != ExchangeEnd::kAnswer || !answer.keep_alive) close();
     std::exchange(callback_, nullptr)(end, std::move(answer));
   }
@@ -150,7 +150,7 @@
   tcp::socket socket_;
   tcp::endpoint endpoint_;
   bool connected_ = false;
-  std::uint64_t answers_ = 0;
+  std::uint64_t exchanges_ = 0;
   TimerId timer_ = 0;
   Callback callback_;
   BeastRequest message_;
--- a/tools/load/load_connection.h
+++ b/tools/load/load_connection.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One keep-alive client connection of the load tool. One request at a time.
+/// A keep-alive client connection of the load tool that carries one request at a time.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -12,14 +12,14 @@
 
 namespace coursepond::load {
 
-/// What goes over the wire for one request.
+/// One request as it is sent, with its timeout.
 struct OutgoingRequest {
   std::string method;
   std::string host;
   std::string target;
   std::string request_id;
   Duration deadline{};  ///< Sent as X-Deadline-Ms when above zero.
-  Duration timeout{};   ///< After which the connection is given up.
+  Duration timeout{};   ///< After which the connection is closed.
 };
 
 class LoadConnection {
@@ -28,15 +28,17 @@
 
   LoadConnection(boost::asio::io_context& context, Environment& environment,
                  const Address& address);
-  /// Closes the connection; a callback that is due is not called.
+  /// Closes the connection. A pending callback is not called.
   ~LoadConnection();
   LoadConnection(const LoadConnection&) = delete;
   LoadConnection& operator=(const LoadConnection&) = delete;
 
-  /// Connects first when need be. Calls back once, never from inside the call.
+  /// Sends the request and connects first if necessary. The callback is called exactly once, and
+  /// never from within this function. Requires that no other request is in flight.
   void send(const OutgoingRequest& request, Callback callback);
 
-  /// Whether the connection is open and its peer hasn't closed it; false before the first send.
+  /// Returns whether the connection is open, idle and not closed by its peer. Returns false before
+  /// the first send.
   bool reusable() const;
 
  private:
--- a/tools/load/load_run.cpp
+++ b/tools/load/load_run.cpp
@@ -8,7 +8,7 @@
 
 namespace coursepond::load {
 
-/// One request on its way.
+/// A request that is waiting for a connection or in flight.
 struct LoadRun::Request {
   std::uint64_t number = 0;
   TimePoint scheduled;
@@ -110,7 +110,8 @@
   release(connection);
 }
 
-/// Sends a request that could not be sent to the next target, once for each target.
+/// Dispatches a request whose connection attempt failed to the next target. Returns false when
+/// every target has been tried.
 bool LoadRun::failOver(const RequestPointer& request) {
   ++request->failed_targets;
   if (request->failed_targets >= targets_.size()) return false;
@@ -135,14 +136,14 @@
 
 void LoadRun::recordOutcome(const Request& request, ExchangeEnd end, const Answer& answer) {
   const std::string request_id = makeRequestId(options_.id_prefix, request.number);
-  const Judgement judgement = judge(*request.kind, request_id, end, answer);
-  result_.records.push_back({request.number, judgement.outcome, request.kind->repeatable});
+  const Classification classification = classify(*request.kind, request_id, end, answer);
+  result_.records.push_back({request.number, classification.outcome, request.kind->repeatable});
   const Duration latency = environment_.now() - request.scheduled;
-  if (judgement.outcome == Outcome::kAnswered) {
+  if (classification.outcome == Outcome::kAnswered) {
     result_.answered_latency.record(latency);
   } else {
     result_.other_latency.record(latency);
-    ++result_.reasons[judgement.outcome][judgement.reason];
+    ++result_.reasons[classification.outcome][classification.reason];
   }
 }
 
@@ -158,8 +159,8 @@
 }
 
 RunResult runLoad(const LoadOptions& options) {
-  constexpr Duration kLead = std::chrono::milliseconds(20);
-  const TimePoint begin = BootClock::now() + kLead;
+  constexpr Duration kStartDelay = std::chrono::milliseconds(20);
+  const TimePoint begin = BootClock::now() + kStartDelay;
   std::vector<std::future<RunResult>> parts;
   for (unsigned thread = 0; thread < options.threads; ++thread) {
     parts.push_back(std::async(std::launch::async, [&options, begin, thread] {
--- a/tools/load/load_run.h
+++ b/tools/load/load_run.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Sends requests on a fixed schedule, whatever happens to earlier ones: a stall makes later
-/// requests wait, and that wait counts, because every latency begins at the scheduled time.
+/// Open-loop load: sends requests on a fixed schedule that does not depend on earlier answers.
+/// Latency is measured from the scheduled time, so the wait that a stall causes to later requests
+/// is included.
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -18,20 +19,20 @@
 
 namespace coursepond::load {
 
-/// What one run sends, and where.
+/// What a run sends, and to which targets.
 struct LoadOptions {
   std::vector<Address> targets;
   std::vector<RequestKind> kinds;
-  double rate = 100;  ///< Requests per second, over all threads.
+  double rate = 100;  ///< Requests per second of all threads together.
   Duration duration = std::chrono::seconds(10);
-  std::size_t connections_per_target = 32;  ///< Of each thread.
-  Duration deadline{};                      ///< Told to the targets; zero for none.
+  std::size_t connections_per_target = 32;  ///< Upper bound for each thread.
+  Duration deadline{};                      ///< Sent to the targets; zero for none.
   Duration timeout = std::chrono::seconds(10);
   std::string id_prefix = "load";
   unsigned threads = 1;
 };
 
-/// The part of a run that one thread sends: the numbers thread, thread + threads, ...
+/// The share of a run that one thread sends: the requests number thread, thread + threads, ...
 class LoadRun {
  public:
   LoadRun(boost::asio::io_context& context, Environment& environment, const LoadOptions& options,
@@ -40,7 +41,7 @@
   LoadRun(const LoadRun&) = delete;
   LoadRun& operator=(const LoadRun&) = delete;
 
-  /// Sends the first request at `begin`; the context runs dry after the last outcome.
+  /// Begins the schedule at `begin`. The context runs out of work after the last outcome.
   void start(TimePoint begin);
 
   RunResult takeResult() { return std::move(result_); }
@@ -73,7 +74,7 @@
   RunResult result_;
 };
 
-/// Runs the whole load on its threads and waits for every outcome.
+/// Runs the load on `options.threads` threads and waits for the outcome of every request.
 RunResult runLoad(const LoadOptions& options);
 
 }  // namespace coursepond::load
--- a/tools/load/main.cpp
+++ b/tools/load/main.cpp
@@ -1,4 +1,5 @@
-/// coursepond-load: open-loop load on nodes or back ends, checked against the back ends' journals.
+/// coursepond-load: sends open-loop load to nodes or back ends and checks the answers against the
+/// journals of the back ends.
 
 #include <unistd.h>
 
@@ -15,7 +16,7 @@
 
 namespace {
 
-/// Exit statuses besides EXIT_SUCCESS.
+/// Exit statuses other than EXIT_SUCCESS.
 constexpr int kViolationStatus = 1;
 constexpr int kUsageStatus = 2;
 
@@ -76,7 +77,7 @@
   return std::chrono::milliseconds(flags[name].as<std::int64_t>());
 }
 
-/// A prefix that no other run of this machine has.
+/// Returns a request id prefix that is unique among the runs on this machine.
 std::string makeIdPrefix() {
   const auto now = std::chrono::system_clock::now().time_since_epoch().count();
   return "load-" + std::to_string(::getpid()) + "-" + std::to_string(now);
@@ -101,7 +102,8 @@
   const Result<std::vector<RequestKind>> kinds = readKinds(flags);
   if (!kinds) return kinds.error();
   if (targets->empty() || kinds->empty()) {
-    return Error{ErrorKind::kInvalidArgument, "nothing to send", "give --targets and --request"};
+    return Error{ErrorKind::kInvalidArgument, "no targets or no requests with a weight above zero",
+                 "pass --targets and --request"};
   }
   options.load.targets = *targets;
   options.load.kinds = *kinds;
--- a/tools/load/outcome.cpp
+++ b/tools/load/outcome.cpp
@@ -10,7 +10,8 @@
 constexpr unsigned kFirstSuccess = 200;
 constexpr unsigned kFirstRedirect = 300;
 
-Judgement judgeSuccess(const RequestKind& kind, std::string_view request_id, const Answer& answer) {
+Classification classifySuccess(const RequestKind& kind, std::string_view request_id,
+                               const Answer& answer) {
   if (answer.request_id != request_id) return {Outcome::kMixedUp, "foreign request id"};
   switch (standin::checkAnswerBody(request_id, kind.answer_bytes, answer.body)) {
     case standin::AnswerBodyCheck::kRight:
@@ -23,9 +24,10 @@
   return {Outcome::kMixedUp, "foreign body"};
 }
 
-Judgement judgeAnswer(const RequestKind& kind, std::string_view request_id, const Answer& answer) {
+Classification classifyAnswer(const RequestKind& kind, std::string_view request_id,
+                              const Answer& answer) {
   if (answer.status >= kFirstSuccess && answer.status < kFirstRedirect) {
-    return judgeSuccess(kind, request_id, answer);
+    return classifySuccess(kind, request_id, answer);
   }
   const std::string reason =
       answer.reason.empty() ? "status " + std::to_string(answer.status) : answer.reason;
@@ -57,11 +59,11 @@
   return "";
 }
 
-Judgement judge(const RequestKind& kind, std::string_view request_id, ExchangeEnd end,
-                const Answer& answer) {
+Classification classify(const RequestKind& kind, std::string_view request_id, ExchangeEnd end,
+                        const Answer& answer) {
   switch (end) {
     case ExchangeEnd::kAnswer:
-      return judgeAnswer(kind, request_id, answer);
+      return classifyAnswer(kind, request_id, answer);
     case ExchangeEnd::kConnectFailed:
       return {Outcome::kNotSent, "no connection"};
     case ExchangeEnd::kClosed:
--- a/tools/load/outcome.h
+++ b/tools/load/outcome.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What became of one request, as its caller saw it.
+/// Classifies the outcome of a request from the point of view of its caller.
 
 #include <array>
 #include <cstdint>
@@ -15,52 +15,52 @@
 namespace coursepond::load {
 
 enum class Outcome {
-  kAnswered,  ///< 2xx with the whole right body.
-  kNotRun,    ///< Refused, and the refusal says that it did not run.
-  kUnknown,   ///< Failed, and the answer does not rule out that it ran.
-  kCut,       ///< The connection ended inside the answer.
-  kNoAnswer,  ///< The connection ended, or time ran out, before an answer began.
-  kNotSent,   ///< No target could be connected to.
-  kMixedUp,   ///< An answer that belongs to another request, or damaged.
-  kShort,     ///< An answer that ended as if whole, but is shorter than it must be.
+  kAnswered,  ///< Status 2xx with the complete and correct body.
+  kNotRun,    ///< Refused; the refusal states that the request did not run.
+  kUnknown,   ///< Failed; the answer leaves open whether the request ran.
+  kCut,       ///< The connection was closed in the middle of the answer.
+  kNoAnswer,  ///< Connection closed before an answer began, or timeout.
+  kNotSent,   ///< No connection to any target succeeded.
+  kMixedUp,   ///< The answer belongs to another request or is corrupted.
+  kShort,     ///< The answer looks complete by HTTP rules, but its body is too short.
 };
 
 inline constexpr std::array kOutcomes{Outcome::kAnswered, Outcome::kNotRun,   Outcome::kUnknown,
                                       Outcome::kCut,      Outcome::kNoAnswer, Outcome::kNotSent,
                                       Outcome::kMixedUp,  Outcome::kShort};
 
-/// "answered", "not_run", ...
+/// Returns the name used in reports: "answered", "not_run", ...
 std::string_view outcomeName(Outcome outcome);
 
 /// How an exchange over a connection ended.
 enum class ExchangeEnd {
-  kAnswer,         ///< A whole answer by the rules of HTTP.
-  kConnectFailed,  ///< Nothing was sent.
+  kAnswer,         ///< A complete HTTP response was received.
+  kConnectFailed,  ///< The connection attempt failed; nothing was sent.
   kClosed,         ///< Closed before an answer began.
-  kClosedReused,   ///< The same, on a connection that had carried an answer before.
-  kCutAnswer,      ///< Closed inside the answer.
+  kClosedReused,   ///< Like kClosed, on a connection that had already carried an answer.
+  kCutAnswer,      ///< Closed in the middle of the answer.
   kTimeout,
 };
 
-/// The answer's parts that matter here.
+/// The parts of an answer that are needed to classify it.
 struct Answer {
   unsigned status = 0;
   std::string request_id;
   std::string outcome;
   std::string reason;
-  Version configuration_version;  ///< Zero when the answer names none.
+  Version configuration_version;  ///< Zero when the answer has no such header.
   bool keep_alive = false;
   std::string body;
 };
 
-/// An outcome and a word on its cause, for counting.
-struct Judgement {
+/// An outcome and its cause, which reports count separately.
+struct Classification {
   Outcome outcome = Outcome::kNoAnswer;
   std::string reason;
 };
 
-/// Judges what a caller got. `answer` is only read at kAnswer.
-Judgement judge(const RequestKind& kind, std::string_view request_id, ExchangeEnd end,
-                const Answer& answer);
+/// Classifies a finished exchange. `answer` is only read when `end` is kAnswer.
+Classification classify(const RequestKind& kind, std::string_view request_id, ExchangeEnd end,
+                        const Answer& answer);
 
 }  // namespace coursepond::load
--- a/tools/load/report.cpp
+++ b/tools/load/report.cpp
@@ -11,13 +11,13 @@
 
 namespace {
 
-struct NamedPart {
+struct NamedQuantile {
   const char* name;
-  double part;
+  double quantile;
 };
 
-constexpr std::array kPercentiles{NamedPart{"p50", 0.5}, NamedPart{"p90", 0.9},
-                                  NamedPart{"p99", 0.99}, NamedPart{"p99.9", 0.999}};
+constexpr std::array kPercentiles{NamedQuantile{"p50", 0.5}, NamedQuantile{"p90", 0.9},
+                                  NamedQuantile{"p99", 0.99}, NamedQuantile{"p99.9", 0.999}};
 
 struct NamedCount {
   const char* name;
@@ -40,8 +40,8 @@
         << static_cast<double>(value.count()) / 1000.0 << " ms";
   };
   out << name;
-  for (const NamedPart& percentile : kPercentiles) {
-    print(percentile.name, latency.percentile(percentile.part));
+  for (const NamedQuantile& percentile : kPercentiles) {
+    print(percentile.name, latency.percentile(percentile.quantile));
   }
   print("max", latency.max());
   out << '\n';
@@ -49,8 +49,8 @@
 
 json latencyJson(const LatencyHistogram& latency) {
   json object{{"count", latency.count()}, {"max", latency.max().count()}};
-  for (const NamedPart& percentile : kPercentiles) {
-    object[percentile.name] = latency.percentile(percentile.part).count();
+  for (const NamedQuantile& percentile : kPercentiles) {
+    object[percentile.name] = latency.percentile(percentile.quantile).count();
   }
   return object;
 }
--- a/tools/load/report.h
+++ b/tools/load/report.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a load run prints: for people, or as one JSON object.
+/// Formats the result of a load run as text or as JSON.
 
 #include <string>
 
@@ -9,11 +9,11 @@
 
 namespace coursepond::load {
 
-/// A few lines for people.
+/// Returns a human-readable summary of a few lines.
 std::string formatReport(const RunResult& result, const Verification& verification,
                          bool journals_checked);
 
-/// One JSON object with the same figures; latencies in microseconds.
+/// Returns the same figures as one JSON object, with latencies in microseconds.
 std::string formatJsonReport(const RunResult& result, const Verification& verification,
                              bool journals_checked);
 
--- a/tools/load/request_mix.cpp
+++ b/tools/load/request_mix.cpp
@@ -13,7 +13,7 @@
 constexpr std::string_view kSizeParameter = "size=";
 
 Error malformedKind(std::string_view text) {
-  return {ErrorKind::kInvalidArgument, "no request kind: '" + std::string(text) + "'",
+  return {ErrorKind::kInvalidArgument, "malformed request kind: '" + std::string(text) + "'",
           "write \"WEIGHT METHOD HOST TARGET [once]\", such as \"3 GET freight.example /x\""};
 }
 
@@ -22,7 +22,7 @@
   return std::find(kRepeatable.begin(), kRepeatable.end(), method) != kRepeatable.end();
 }
 
-/// Where the value of `size=` begins in the target's query, or npos.
+/// Returns the position of the value of `size=` in the target's query, or npos.
 std::size_t findSize(std::string_view target) {
   const std::size_t query = target.find('?');
   if (query == std::string_view::npos) return query;
@@ -39,7 +39,7 @@
   target += std::to_string(size);
 }
 
-/// SplitMix64's output function: spreads consecutive numbers evenly.
+/// The output function of SplitMix64, which maps consecutive numbers to evenly distributed values.
 std::uint64_t mixBits(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15ULL;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9ULL;
--- a/tools/load/run_result.h
+++ b/tools/load/run_result.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What a load run saw: one record for every request, counts and latencies.
+/// The result of a load run: one record per request, counts and latencies.
 
 #include <cstdint>
 #include <map>
@@ -12,14 +12,14 @@
 
 namespace coursepond::load {
 
-/// One request's fate. Its id is the run's prefix and its number.
+/// The outcome of one request. Its id is built by makeRequestId from the run's prefix and `number`.
 struct RequestRecord {
   std::uint64_t number = 0;
   Outcome outcome = Outcome::kNoAnswer;
   bool repeatable = true;
 };
 
-/// The configuration versions that one target's answers named.
+/// The range of configuration versions that the answers of one target named.
 struct VersionsSeen {
   Version lowest;
   Version highest;
@@ -29,20 +29,20 @@
 
 struct RunResult {
   std::vector<RequestRecord> records;
-  std::map<Outcome, ReasonCounts> reasons;       ///< Of every outcome but kAnswered.
-  LatencyHistogram answered_latency;             ///< From the scheduled start.
-  LatencyHistogram other_latency;                ///< Of everything that was not answered.
+  std::map<Outcome, ReasonCounts> reasons;  ///< Of every outcome except kAnswered.
+  LatencyHistogram answered_latency;        ///< Measured from the scheduled start.
+  LatencyHistogram other_latency;           ///< Of requests with another outcome than kAnswered.
   std::map<std::string, VersionsSeen> versions;  ///< By target.
-  std::uint64_t version_regressions = 0;  ///< Answers that named a lower version than an earlier
-                                          ///< answer on the same connection.
+  std::uint64_t version_regressions = 0;  ///< Answers with a lower version than an earlier answer
+                                          ///< on the same connection.
   std::uint64_t connections_opened = 0;
-  std::uint64_t failovers = 0;  ///< Requests sent to another target for want of a connection.
+  std::uint64_t failovers = 0;  ///< Requests moved to another target after a failed connect.
 
   std::uint64_t count(Outcome outcome) const;
   void merge(RunResult other);
 };
 
-/// The id of the request of that number.
+/// Returns the id of the request with this number.
 std::string makeRequestId(const std::string& prefix, std::uint64_t number);
 
 }  // namespace coursepond::load
--- a/tools/load/verification.cpp
+++ b/tools/load/verification.cpp
@@ -10,17 +10,20 @@
       : prefix_(prefix), journal_(journal) {}
 
   void checkRecord(const RequestRecord& record) {
-    if (record.outcome == Outcome::kMixedUp) note(verification_.mixed_up, "mixed up", record);
-    if (record.outcome == Outcome::kShort) note(verification_.short_answers, "short", record);
+    if (record.outcome == Outcome::kMixedUp)
+      recordViolation(verification_.mixed_up, "mixed up", record);
+    if (record.outcome == Outcome::kShort)
+      recordViolation(verification_.short_answers, "short", record);
     if (journal_ == nullptr) return;
     const standin::JournalEntry entry = entryOf(record);
     if (record.outcome == Outcome::kAnswered && entry.completed == 0) {
-      note(verification_.lost, "lost", record);
+      recordViolation(verification_.lost, "lost", record);
     }
     if (record.outcome == Outcome::kNotRun && entry.started > 0) {
-      note(verification_.not_run_ran, "ran though not run", record);
+      recordViolation(verification_.not_run_ran, "reported as not run but ran", record);
     }
-    if (!record.repeatable && entry.started > 1) note(verification_.doubled, "doubled", record);
+    if (!record.repeatable && entry.started > 1)
+      recordViolation(verification_.doubled, "doubled", record);
   }
 
   Verification& verification() { return verification_; }
@@ -31,7 +34,7 @@
     return found == journal_->end() ? standin::JournalEntry{} : found->second;
   }
 
-  void note(std::uint64_t& counter, const char* what, const RequestRecord& record) {
+  void recordViolation(std::uint64_t& counter, const char* what, const RequestRecord& record) {
     ++counter;
     if (verification_.examples.size() >= Verification::kMaxExamples) return;
     verification_.examples.push_back(std::string(what) + ": " +
--- a/tools/load/verification.h
+++ b/tools/load/verification.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Compares what callers saw with what the back ends' journals say ran.
+/// Compares the outcomes that callers saw with the journals of the back ends.
 
 #include <cstdint>
 #include <string>
@@ -11,15 +11,15 @@
 
 namespace coursepond::load {
 
-/// How many requests broke each promise, and some of their ids.
+/// Number of requests that violated each guarantee, and some of their ids.
 struct Verification {
-  std::uint64_t lost = 0;           ///< Answered, but no back end completed it.
-  std::uint64_t doubled = 0;        ///< Must not be repeated, but ran more than once.
-  std::uint64_t not_run_ran = 0;    ///< Refused as not run, but ran.
-  std::uint64_t mixed_up = 0;       ///< Got an answer that is not its own.
-  std::uint64_t short_answers = 0;  ///< Got less than the whole answer as if it were whole.
-  std::uint64_t version_regressions = 0;
-  std::vector<std::string> examples;  ///< "doubled: ID", at most kMaxExamples.
+  std::uint64_t lost = 0;                 ///< Answered, but completed by no back end.
+  std::uint64_t doubled = 0;              ///< Not repeatable, but ran more than once.
+  std::uint64_t not_run_ran = 0;          ///< Reported as not run, but ran.
+  std::uint64_t mixed_up = 0;             ///< Got the answer of another request or a corrupted one.
+  std::uint64_t short_answers = 0;        ///< Got a truncated answer that looked complete.
+  std::uint64_t version_regressions = 0;  ///< See RunResult::version_regressions.
+  std::vector<std::string> examples;      ///< "doubled: ID", at most kMaxExamples.
 
   static constexpr std::size_t kMaxExamples = 20;
 
@@ -28,7 +28,8 @@
   }
 };
 
-/// `prefix` is the run's request id prefix. Without journals only what callers saw is checked.
+/// Checks a run whose request ids begin with `prefix`. When `journal` is null, only the checks that
+/// need no journal are made.
 Verification verify(const RunResult& result, const std::string& prefix,
                     const standin::JournalEntries* journal);
 
