--- a/tests/standin/backend_test.cpp
+++ b/tests/standin/backend_test.cpp
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("work takes its service time and its answer belongs to its request") {
+TEST_CASE("work takes the service time and the answer carries the body of its request") {
   Fixture fixture;
   const auto exchange = fixture.send("a", "size=1000&chunked=1&echo=x-request-id");
   fixture.environment.advance(milliseconds(4));
@@ -56,7 +56,7 @@
   CHECK(fixture.journal.entries().at("a") == JournalEntry{1, 1, 0, 0});
 }
 
-TEST_CASE("beyond slots and queue work is refused and does not run") {
+TEST_CASE("work is refused and does not run when all slots and the queue are full") {
   Fixture fixture(oneSlot(1));
   const auto first = fixture.send("a");
   const auto second = fixture.send("b");
@@ -72,7 +72,7 @@
   CHECK(fixture.journal.entries().at("c") == JournalEntry{0, 0, 0, 1});
 }
 
-TEST_CASE("a client that leaves stops its work and frees the slot") {
+TEST_CASE("a disconnected client cancels its running work and frees the slot") {
   Fixture fixture(oneSlot(1));
   const auto first = fixture.send("a");
   const auto second = fixture.send("b");
@@ -100,7 +100,7 @@
   CHECK(fixture.journal.entries().at("running") == JournalEntry{1, 0, 1, 0});
 }
 
-TEST_CASE("a drain refuses new work, finishes what is there and then reports") {
+TEST_CASE("a drain refuses new work, completes admitted work and then calls back") {
   Fixture fixture;
   const auto before = fixture.send("before");
   bool drained = false;
@@ -116,7 +116,7 @@
   CHECK(drained);
 }
 
-TEST_CASE("a cold server is slower for a while") {
+TEST_CASE("work is slower during the cold start") {
   BackendOptions options;
   options.cold_start = milliseconds(100);
   Fixture fixture(options);
@@ -130,30 +130,30 @@
   CHECK(warm->sent);
 }
 
-TEST_CASE("load reports lag and lie, faults spoil answers as told") {
+TEST_CASE("load reports are stale or false and answers are cut when so configured") {
   Fixture fixture;
-  const auto tell = [&](const std::string& body) {
+  const auto set_behaviour = [&](const std::string& body) {
     const auto exchange =
         std::make_shared<FakeExchange>(HttpRequest{"POST", "/control/behaviour", "", {}, body});
     fixture.backend.handle(exchange);
     return exchange->sent->status;
   };
-  CHECK(tell(R"({"load_lag_ms": 1000})") == 200);
+  CHECK(set_behaviour(R"({"load_lag_ms": 1000})") == 200);
   fixture.send("a");
   const auto lagging = fixture.send("b");
   fixture.environment.advance(milliseconds(5));
   CHECK(replyHeader(*lagging->sent, http_headers::kLoad) == "0/10");
-  CHECK(tell(R"({"load_lie": "0/99", "fault": "cut"})") == 200);
+  CHECK(set_behaviour(R"({"load_lie": "0/99", "fault": "cut"})") == 200);
   const auto lying = fixture.send("c", "size=100");
   fixture.environment.advance(milliseconds(5));
   CHECK(replyHeader(*lying->sent, http_headers::kLoad) == "0/99");
   CHECK(lying->sent->fault == BodyFault::kCut);
   CHECK(lying->sent->fault_after == 50);
-  CHECK(tell(R"({"fault": "nonsense"})") == 400);
-  CHECK(tell("[") == 400);
+  CHECK(set_behaviour(R"({"fault": "nonsense"})") == 400);
+  CHECK(set_behaviour("[") == 400);
 }
 
-TEST_CASE("journals are read back from their text and from their lines") {
+TEST_CASE("journals are parsed from their JSON text and from their lines") {
   Fixture fixture;
   fixture.send("a");
   fixture.environment.advance(milliseconds(5));
--- a/tests/standin/fakes.h
+++ b/tests/standin/fakes.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Hand-driven time and exchanges for the stand-ins' tests.
+/// Fake environment with a manual clock and fake HTTP exchanges for the tests of the stand-ins.
 
 #include <functional>
 #include <map>
@@ -22,7 +22,7 @@
   void cancel(TimerId timer) override { timers_.erase(timer); }
   std::uint64_t random(std::uint64_t) override { return 0; }
 
-  /// Moves the clock and runs what is due, in order of time.
+  /// Advances the clock and runs the timers that are due, in order of time.
   void advance(Duration time) {
     const TimePoint end = now_ + time;
     for (;;) {
@@ -70,7 +70,7 @@
   std::function<void()> on_disconnect_;
 };
 
-/// The value of a reply's header, or an empty text.
+/// Returns the value of a reply's header, or an empty string.
 inline std::string replyHeader(const HttpReply& reply, std::string_view name) {
   for (const HttpHeader& header : reply.headers) {
     if (header.name == name) return header.value;
--- a/tests/standin/http_server_test.cpp
+++ b/tests/standin/http_server_test.cpp
@@ -16,7 +16,7 @@
 
 using ClientResult = Result<runtime::HttpClientResponse>;
 
-/// A server and a client on one loop.
+/// A server whose context also runs the clients of the test.
 struct Fixture {
   explicit Fixture(std::size_t connection_limit = 10)
       : server(
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-TEST_CASE("requests arrive whole, and replies with either transfer coding") {
+TEST_CASE("requests arrive complete, and so do replies with and without chunked coding") {
   Fixture fixture;
   runtime::HttpClient client(fixture.context);
   CHECK(fixture.call(client, "/x?a=1", "body")->body == "POST a=1 body");
@@ -72,7 +72,7 @@
   CHECK(fixture.server.counts().accepted_connections == 1);
 }
 
-TEST_CASE("a cut, a stalled and an aborted reply never look whole") {
+TEST_CASE("a cut, a stalled and an aborted reply never look complete") {
   Fixture fixture;
   runtime::HttpClient client(fixture.context);
   fixture.next_reply.body = std::string(1000, 'x');
@@ -89,7 +89,7 @@
   CHECK_FALSE(fixture.call(client, "/abort").has_value());
 }
 
-TEST_CASE("a client that leaves is noticed, and a late reply to it has no effect") {
+TEST_CASE("a disconnect of the client is detected, and a late reply has no effect") {
   Fixture fixture;
   runtime::HttpClient client(fixture.context);
   CHECK_FALSE(fixture.call(client, "/wait", "", std::chrono::milliseconds(20)).has_value());
@@ -99,7 +99,7 @@
   CHECK(fixture.disconnects == 1);
 }
 
-TEST_CASE("connections above the limit are answered by the other handler and closed") {
+TEST_CASE("requests on connections above the limit go to the excess handler") {
   Fixture fixture(1);
   runtime::HttpClient first(fixture.context);
   runtime::HttpClient second(fixture.context);
--- a/tests/standin/platform_test.cpp
+++ b/tests/standin/platform_test.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-TEST_CASE("only published versions are served, and unchanged ones as not modified") {
+TEST_CASE("only published versions are served, and unchanged documents yield 304") {
   Platform platform = makePlatform();
   CHECK(get(platform, "/v1/configurations").body == R"({"newest":1})");
   CHECK(get(platform, "/v1/configurations/2").status == 404);
@@ -49,7 +49,7 @@
   CHECK(platform.statistics().not_modified == 1);
 }
 
-TEST_CASE("every change of the machine list raises its generation") {
+TEST_CASE("every change of the machine list increases its generation") {
   Platform platform = makePlatform();
   CHECK(platform.generation() == Generation(4));
   CHECK(post(platform, "/control/machines/state", R"({"id": "b1", "state": "leaving"})").status ==
@@ -65,7 +65,7 @@
   CHECK(post(platform, "/control/machines", "[").status == 400);
 }
 
-TEST_CASE("a stale platform keeps its old state, a regressing one names an older") {
+TEST_CASE("a stale platform serves its old state, a regressing one an older version") {
   Platform platform = makePlatform();
   post(platform, "/control/publish", R"({"version": 2})");
   post(platform, "/control/fault", R"({"mode": "regressing"})");
@@ -78,7 +78,7 @@
   CHECK(get(platform, "/v1/configurations").body == R"({"newest":2})");
 }
 
-TEST_CASE("an absent or malformed platform spoils reads but not its control endpoints") {
+TEST_CASE("platform faults affect reads but not the control endpoints") {
   Platform platform = makePlatform();
   const HttpRequest read{"GET", "/v1/configurations", "", {}, ""};
   post(platform, "/control/fault", R"({"mode": "refuse"})");
--- a/tools/standin/answer_body.cpp
+++ b/tools/standin/answer_body.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// FNV-1a, which seeds the generator with the request id.
+/// FNV-1a hash of the request id, used as the seed of the generator.
 std::uint64_t hashRequestId(std::string_view request_id) {
   std::uint64_t hash = 0xcbf29ce484222325ULL;
   for (const char character : request_id) {
--- a/tools/standin/answer_body.h
+++ b/tools/standin/answer_body.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The body of a stand-in's answer: text that follows from the request id alone, so that a client
-/// can tell a mixed-up, short or damaged answer from its own.
+/// The body of a stand-in's answer. It is derived from the request id alone, so that a client can
+/// detect an answer that belongs to another request, is truncated or is corrupted.
 
 #include <cstddef>
 #include <string>
@@ -9,14 +9,14 @@
 
 namespace coursepond::standin {
 
-/// `size` printable characters that belong to this request.
+/// Returns `size` printable characters derived from the request id.
 std::string makeAnswerBody(std::string_view request_id, std::size_t size);
 
-/// What a client finds in an answer's body.
+/// Result of comparing a received body with the expected one.
 enum class AnswerBodyCheck {
   kRight,
-  kShort,    ///< A true beginning of the right body.
-  kForeign,  ///< Not this request's body.
+  kShort,    ///< A proper prefix of the expected body.
+  kForeign,  ///< Neither the expected body nor a prefix of it.
 };
 
 AnswerBodyCheck checkAnswerBody(std::string_view request_id, std::size_t size,
--- a/tools/standin/backend.cpp
+++ b/tools/standin/backend.cpp
@@ -46,8 +46,8 @@
   return std::chrono::milliseconds(static_cast<std::int64_t>(value));
 }
 
-/// For work that was stopped at its deadline: it ran in part.
-HttpReply lateReply(const std::string& request_id) {
+/// Reply for work that was stopped at its deadline and has therefore run in part.
+HttpReply deadlineExceededReply(const std::string& request_id) {
   HttpReply reply = jsonReply(kGatewayTimeout, "{}");
   reply.headers.push_back({http_headers::kOutcome, http_headers::kOutcomeUnknown});
   reply.headers.push_back({http_headers::kReason, "deadline"});
@@ -55,7 +55,7 @@
   return reply;
 }
 
-/// Retry-After counts whole seconds, at least one.
+/// Formats Retry-After in whole seconds, rounded up, at least one.
 std::string retryAfterText(Duration delay) {
   const auto seconds = std::chrono::ceil<std::chrono::seconds>(delay).count();
   return std::to_string(std::max<std::int64_t>(1, seconds));
@@ -70,12 +70,12 @@
   return found->fault;
 }
 
-/// One request that was admitted.
+/// An admitted work request, queued or running.
 struct Backend::Work {
   std::shared_ptr<HttpExchange> exchange;
   std::string request_id;
   bool running = false;
-  bool over = false;
+  bool finished = false;
   TimerId work_timer = 0;
   TimerId deadline_timer = 0;
 };
@@ -143,7 +143,7 @@
   } else {
     queued_.push_back(work);
   }
-  refreshLoad();
+  updateLoadReport();
 }
 
 void Backend::start(const WorkPointer& work) {
@@ -163,7 +163,7 @@
 }
 
 void Backend::complete(const WorkPointer& work) {
-  if (work->over) return;
+  if (work->finished) return;
   work->work_timer = 0;
   journal_.record(work->request_id, JournalEvent::kCompleted);
   ++counts_.completed;
@@ -171,7 +171,7 @@
   HttpReply reply = answer(*work);
   remove(work);
   exchange->reply(std::move(reply));
-  reportDrained();
+  notifyIfDrained();
 }
 
 HttpReply Backend::answer(const Work& work) const {
@@ -194,39 +194,39 @@
 }
 
 void Backend::cancel(const WorkPointer& work) {
-  if (work->over) return;
+  if (work->finished) return;
   if (work->running) {
     journal_.record(work->request_id, JournalEvent::kCancelled);
     ++counts_.cancelled;
   }
   remove(work);
-  reportDrained();
+  notifyIfDrained();
 }
 
 void Backend::expire(const WorkPointer& work) {
   work->deadline_timer = 0;
-  if (work->over) return;
+  if (work->finished) return;
   const std::shared_ptr<HttpExchange> exchange = work->exchange;
   if (work->running) {
     journal_.record(work->request_id, JournalEvent::kCancelled);
     ++counts_.cancelled;
     remove(work);
-    exchange->reply(lateReply(work->request_id));
+    exchange->reply(deadlineExceededReply(work->request_id));
   } else {
     remove(work);
     refuse(*exchange, "deadline", counts_.refused_deadline);
   }
-  reportDrained();
+  notifyIfDrained();
 }
 
 void Backend::remove(const WorkPointer& work) {
-  work->over = true;
+  work->finished = true;
   if (work->work_timer != 0) environment_.cancel(work->work_timer);
   if (work->deadline_timer != 0) environment_.cancel(work->deadline_timer);
   std::erase(running_, work);
   std::erase(queued_, work);
   startQueued();
-  refreshLoad();
+  updateLoadReport();
 }
 
 void Backend::startQueued() {
@@ -240,15 +240,15 @@
 void Backend::drain(std::function<void()> on_drained) {
   draining_ = true;
   on_drained_ = std::move(on_drained);
-  reportDrained();
+  notifyIfDrained();
 }
 
-void Backend::reportDrained() {
+void Backend::notifyIfDrained() {
   const bool drained = draining_ && running_.empty() && queued_.empty();
   if (drained && on_drained_) std::exchange(on_drained_, nullptr)();
 }
 
-void Backend::refreshLoad() {
+void Backend::updateLoadReport() {
   const TimePoint now = environment_.now();
   if (options_.load_lag > Duration::zero() && now - reported_at_ < options_.load_lag) return;
   reported_ = {running_.size(), queued_.size()};
@@ -270,10 +270,10 @@
 }
 
 HttpReply Backend::healthReply() const {
-  const bool says_ok = !draining_ || options_.health_lies;
+  const bool reports_healthy = !draining_ || options_.health_lies;
   HttpReply reply;
-  reply.status = says_ok ? kOk : kUnavailable;
-  reply.body = says_ok ? "ok" : "draining";
+  reply.status = reports_healthy ? kOk : kUnavailable;
+  reply.body = reports_healthy ? "ok" : "draining";
   return reply;
 }
 
@@ -290,7 +290,8 @@
 
 HttpReply Backend::changeBehaviour(const HttpRequest& request) {
   const json body = json::parse(request.body, nullptr, false);
-  if (!body.is_object()) return jsonReply(kBadRequest, R"({"message": "no JSON object"})");
+  if (!body.is_object())
+    return jsonReply(kBadRequest, R"({"message": "the body is not a JSON object"})");
   try {
     BackendOptions changed = options_;
     changed.slots = body.value("slots", changed.slots);
--- a/tools/standin/backend.h
+++ b/tools/standin/backend.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// A back end as tests need it: slots with a short queue, cold start, drain, refusals that truly
-/// did not run, deadlines, cancellation, and load reports that may lag or lie. No sockets.
+/// Back end stand-in for tests: slots with a short queue, cold start, drain, refusals that are
+/// guaranteed not to have run, deadlines, cancellation, and load reports that may be stale or
+/// false. It uses no sockets.
 
 #include <cstdint>
 #include <deque>
@@ -20,35 +21,35 @@
 
 namespace coursepond::standin {
 
-/// How a back end spoils the answers to work.
+/// Fault that a back end injects into its answers to work requests.
 enum class BackendFault {
   kNone,
-  kStuck,  ///< Work never ends.
-  kCut,    ///< Answers are cut half way and their connection is closed.
-  kStall,  ///< Answers stop half way and their connection stays open.
+  kStuck,  ///< Work never completes.
+  kCut,    ///< The connection is closed after half of the body.
+  kStall,  ///< Sending stops after half of the body; the connection stays open.
 };
 
-/// "none", "stuck", "cut" or "stall".
+/// Parses "none", "stuck", "cut" or "stall".
 std::optional<BackendFault> parseBackendFault(std::string_view name);
 
-/// What a back end may be told, at its start and while it runs.
+/// Behaviour of a back end, set at its start; /control/behaviour changes some of it later.
 struct BackendOptions {
   std::string id = "backend";
   std::string service = "service";
   std::uint32_t slots = 10;
   std::uint32_t queue_limit = 10;
   Duration service_time = std::chrono::milliseconds(5);
-  Duration cold_start = Duration{};  ///< How long after its start work is slower.
-  std::uint32_t cold_factor = 4;     ///< How many times slower.
-  std::size_t answer_bytes = 200;    ///< When the request names no size.
+  Duration cold_start = Duration{};  ///< Time after the start during which work is slower.
+  std::uint32_t cold_factor = 4;     ///< Factor by which cold work is slower.
+  std::size_t answer_bytes = 200;    ///< Body size when the request names none.
   Duration retry_after = std::chrono::seconds(1);
-  Duration load_lag = Duration{};       ///< The age up to which a load report is repeated.
-  std::optional<std::string> load_lie;  ///< Reported in place of the true load.
-  bool health_lies = false;             ///< /health says "ok" even while draining.
+  Duration load_lag = Duration{};       ///< Minimum age of a load report before it is updated.
+  std::optional<std::string> load_lie;  ///< Reported instead of the true load.
+  bool health_lies = false;             ///< /health answers "ok" even while draining.
   BackendFault fault = BackendFault::kNone;
 };
 
-/// Counts of a back end.
+/// Counters of a back end.
 struct BackendCounts {
   std::uint64_t completed = 0;
   std::uint64_t cancelled = 0;
@@ -58,15 +59,16 @@
   std::uint64_t refused_connection = 0;
 };
 
-/// Serves work on every path but its own endpoints:
-///   /load               {"busy", "slots", "queued"}, lagging or lying as told
+/// Handles every path as work, except for its own endpoints:
+///   /load               {"busy", "slots", "queued", "load"}, stale or false if configured
 ///   /health             200 "ok", or 503 while draining
 ///   /journal            the Journal
-///   /control/behaviour  POST: changes a part of BackendOptions
-///   /control/drain      POST: begins to drain
-///   /control/statistics the counts
-/// A request may choose its answer with the query: size=BYTES, chunked=1, time_ms=MILLISECONDS,
-/// echo=HEADER (X-Echo then carries that request header's value). X-Backend names the server.
+///   /control/behaviour  POST: changes some of the BackendOptions
+///   /control/drain      POST: starts a drain
+///   /control/statistics the counters
+/// The query of a work request selects properties of the answer: size=BYTES, chunked=1,
+/// time_ms=MILLISECONDS, echo=HEADER (X-Echo then carries the value of that request header).
+/// X-Backend carries the id of the back end.
 class Backend {
  public:
   Backend(Environment& environment, BackendOptions options, Journal& journal);
@@ -75,12 +77,12 @@
   Backend& operator=(const Backend&) = delete;
 
   void handle(std::shared_ptr<HttpExchange> exchange);
-  /// A request on a connection above the connection limit.
+  /// Refuses a request that arrived on a connection above the connection limit.
   void refuseConnection(HttpExchange& exchange);
 
-  /// Refuses new work from now on; `on_drained` runs once no work is left.
+  /// Refuses new work from now on and calls `on_drained` once no work is left.
   void drain(std::function<void()> on_drained);
-  /// Runs when the control endpoint asks for a drain.
+  /// Sets the callback that is called when /control/drain is requested.
   void onDrainRequest(std::function<void()> callback) { on_drain_request_ = std::move(callback); }
 
   bool draining() const { return draining_; }
@@ -104,8 +106,8 @@
   void expire(const WorkPointer& work);
   void remove(const WorkPointer& work);
   void startQueued();
-  void reportDrained();
-  void refreshLoad();
+  void notifyIfDrained();
+  void updateLoadReport();
   std::string loadText() const;
   HttpReply answer(const Work& work) const;
   Duration workTime(const HttpRequest& request) const;
--- a/tools/standin/backend_program.cpp
+++ b/tools/standin/backend_program.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-/// What the back end's process needs besides its behaviour.
+/// Options of the back end's process, other than its behaviour.
 struct BackendProcessOptions {
   Address listen;
   std::size_t connection_limit = 0;
   Duration connection_delay{};
-  Duration drain_time{};   ///< Refusals go on at least this long after a SIGTERM.
-  Duration drain_limit{};  ///< Work that is still there after this long is cut.
+  Duration drain_time{};   ///< Minimum time to keep refusing work after a drain begins.
+  Duration drain_limit{};  ///< Time after which a drain ends even with unfinished work.
   std::string journal_file;
 };
 
-/// Runs one Backend in a process; ends it when it has drained.
+/// Runs a Backend as a process, which exits when the back end has drained.
 class BackendProcess {
  public:
   BackendProcess(BackendProcessOptions options, BackendOptions behaviour)
@@ -55,7 +55,7 @@
     if (!bound) return fail(bound.error());
     std::cout << "back end " << id << " listens on " << formatAddress(*bound) << std::endl;
     context_.run();
-    std::cout << "back end " << id << " stopped with " << backend_.busy() << " unfinished"
+    std::cout << "back end " << id << " stopped with " << backend_.busy() << " unfinished requests"
               << std::endl;
     return backend_.busy() == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
   }
@@ -71,7 +71,7 @@
     server_.closeAfterReplies();
     environment_.schedule(options_.drain_limit, [this] { context_.stop(); });
     environment_.schedule(options_.drain_time, [this] {
-      waited_ = true;
+      drain_time_over_ = true;
       stopIfDrained();
     });
     backend_.drain([this] {
@@ -80,10 +80,11 @@
     });
   }
 
-  /// A last moment lets the replies that were just written leave the socket.
+  /// Stops the process once the drain is complete. A short delay lets replies that were just
+  /// written leave the socket.
   void stopIfDrained() {
     constexpr Duration kFlushTime = std::chrono::milliseconds(50);
-    if (!waited_ || !drained_) return;
+    if (!drain_time_over_ || !drained_) return;
     server_.stop();
     environment_.schedule(kFlushTime, [this] { context_.stop(); });
   }
@@ -95,7 +96,7 @@
   Backend backend_;
   HttpServer server_;
   boost::asio::signal_set signals_;
-  bool waited_ = false;
+  bool drain_time_over_ = false;
   bool drained_ = false;
 };
 
--- a/tools/standin/http_message.h
+++ b/tools/standin/http_message.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// HTTP requests and replies as the stand-ins see them: plain data, without Beast.
+/// HTTP requests and replies of the stand-ins as plain data, independent of Beast.
 
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
   std::string value;
 };
 
-/// A whole request. The target is split at its '?'.
+/// A complete request. The target is split into path and query at the first '?'.
 struct HttpRequest {
   std::string method;
   std::string path;
@@ -25,43 +25,44 @@
   std::vector<HttpHeader> headers;
   std::string body;
 
-  /// The first header of that name (without regard to case), or an empty text.
+  /// Returns the value of the first header with that name (case-insensitive), or an empty string.
   std::string_view header(std::string_view name) const;
-  /// The value of `name=value` in the query, or an empty text. Nothing is unescaped.
+  /// Returns the value of `name=value` in the query, or an empty string. Nothing is
+  /// percent-decoded.
   std::string_view parameter(std::string_view name) const;
 };
 
-/// What goes wrong while an answer is sent.
+/// Fault that is injected while a reply is sent.
 enum class BodyFault {
   kNone,
   kCut,    ///< The connection is closed after `fault_after` bytes of the body.
   kStall,  ///< Nothing more is sent after `fault_after` bytes of the body.
 };
 
-/// A whole reply, and how it is to be sent.
+/// A complete reply and how to send it.
 struct HttpReply {
   int status = 200;
   std::vector<HttpHeader> headers;
   std::string body;
-  bool chunked = false;  ///< Chunked transfer coding in place of Content-Length.
-  bool close = false;    ///< Close the connection after this reply.
+  bool chunked = false;  ///< Use chunked transfer coding instead of Content-Length.
+  bool close = false;    ///< Close the connection after the reply.
   BodyFault fault = BodyFault::kNone;
-  std::size_t fault_after = 0;
+  std::size_t fault_after = 0;  ///< In bytes.
 };
 
-/// A reply with a JSON text as its body.
+/// Returns a reply with the given JSON text as its body.
 HttpReply jsonReply(int status, std::string json);
 
-/// One request that waits for its reply. Used on the thread of its server only.
+/// A request that waits for its reply. Used only on the thread of its server.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
   virtual const HttpRequest& request() const = 0;
-  /// Sends the reply. Only the first call has an effect, and none once the client has gone.
+  /// Sends the reply. Has no effect after the first call or once the client has disconnected.
   virtual void reply(HttpReply reply) = 0;
   /// Closes the connection without a reply.
   virtual void abort() = 0;
-  /// `callback` runs once if the client closes its connection before the reply.
+  /// Sets a callback that is called once if the client closes its connection before the reply.
   virtual void onDisconnect(std::function<void()> callback) = 0;
 };
 
--- a/tools/standin/http_server.cpp
+++ b/tools/standin/http_server.cpp
@@ -65,7 +65,7 @@
   return encoded;
 }
 
-/// The reply as it goes over the wire, without what its fault keeps back.
+/// Serializes the reply, without the part that its fault suppresses.
 std::string encodeReply(const HttpReply& reply, bool keep_alive, bool without_body) {
   std::ostringstream header;
   header << replyHeader(reply, keep_alive).base();
@@ -114,7 +114,7 @@
   bool stopped_ = false;
 };
 
-/// One client connection. It lives as long as one of its operations, or an exchange, holds it.
+/// One client connection, kept alive by its pending operations and by its exchanges.
 class HttpServer::Impl::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Impl> server, tcp::socket socket, bool excess)
@@ -143,7 +143,7 @@
 
  private:
   void dispatch();
-  void disconnected();
+  void handleDisconnect();
   void finishReply(bool keep_alive, BodyFault fault);
 
   std::shared_ptr<Impl> server_;
@@ -162,7 +162,7 @@
 
 namespace {
 
-/// Ties a request to its connection; a late reply to an earlier request has no effect.
+/// Binds a request to its connection. A late reply to an earlier request has no effect.
 template <typename Connection>
 class ConnectionExchange : public HttpExchange {
  public:
@@ -173,10 +173,10 @@
 
   const HttpRequest& request() const override { return request_; }
   void reply(HttpReply reply) override {
-    if (take()) connection_->sendReply(reply);
+    if (claimReply()) connection_->sendReply(reply);
   }
   void abort() override {
-    if (take()) connection_->close();
+    if (claimReply()) connection_->close();
   }
   void onDisconnect(std::function<void()> callback) override {
     if (connection_->currentExchange() == number_) {
@@ -185,7 +185,7 @@
   }
 
  private:
-  bool take() {
+  bool claimReply() {
     if (replied_ || connection_->currentExchange() != number_) return false;
     replied_ = true;
     return true;
@@ -235,11 +235,11 @@
     if (self->exchange_number_ != exchange || !self->exchange_active_) return;
     error_code error;
     const bool bytes_wait = self->socket_.is_open() && self->socket_.available(error) > 0;
-    if (!bytes_wait) self->disconnected();
+    if (!bytes_wait) self->handleDisconnect();
   });
 }
 
-void HttpServer::Impl::Connection::disconnected() {
+void HttpServer::Impl::Connection::handleDisconnect() {
   close();
   if (on_disconnect_) std::exchange(on_disconnect_, nullptr)();
 }
--- a/tools/standin/http_server.h
+++ b/tools/standin/http_server.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// A small HTTP/1.1 server for the stand-ins. One request at a time on a connection, keep-alive,
-/// and notice of a client that goes away before its reply.
+/// A small HTTP/1.1 server for the stand-ins. It supports keep-alive with one request at a time on
+/// each connection, and detects clients that disconnect before their reply.
 
 #include <boost/asio/io_context.hpp>
 #include <cstddef>
@@ -16,12 +16,12 @@
 
 /// Limits and delays of an HttpServer.
 struct HttpServerOptions {
-  Address listen;                          ///< Port 0 takes a free one.
-  std::size_t connection_limit = 4096;     ///< Requests on connections above it go to `on_excess`.
-  Duration connection_delay = Duration{};  ///< What a new connection costs before its first read.
+  Address listen;                          ///< Port 0 selects a free port.
+  std::size_t connection_limit = 4096;     ///< Connections above it are handled by `on_excess`.
+  Duration connection_delay = Duration{};  ///< Delay of a new connection's first read.
 };
 
-/// Counts of an HttpServer.
+/// Counters of an HttpServer.
 struct HttpServerCounts {
   std::size_t open_connections = 0;
   std::size_t accepted_connections = 0;
@@ -32,8 +32,8 @@
  public:
   using Handler = std::function<void(std::shared_ptr<HttpExchange>)>;
 
-  /// `on_request` gets every request; `on_excess` gets those on connections above the limit,
-  /// which are closed after their reply.
+  /// `on_excess` handles requests on connections above the limit, which are closed after their
+  /// reply. `on_request` handles all other requests.
   HttpServer(boost::asio::io_context& context, HttpServerOptions options, Handler on_request,
              Handler on_excess);
   ~HttpServer();
@@ -44,11 +44,11 @@
   /// Binds and listens. Fails with kUnavailable when the address is taken.
   Result<Address> start();
 
-  /// Accepts no more, and closes every connection that waits for a request.
+  /// Stops accepting connections and closes every connection that has no request in progress.
   void stop();
 
-  /// From now on every reply closes its connection; connections without a request are kept, so
-  /// that a client that has just sent one gets its answer.
+  /// Closes each connection after its next reply from now on. Idle connections stay open, so that a
+  /// client that has just sent a request gets its answer.
   void closeAfterReplies();
 
   HttpServerCounts counts() const;
--- a/tools/standin/journal.h
+++ b/tools/standin/journal.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// What a back end did with each request, kept in memory and, on demand, also in a file that
-/// outlives a killed process.
+/// Records what a back end did with each request, in memory and optionally also in a file that
+/// survives when the process is killed.
 
 #include <cstdint>
 #include <cstdio>
@@ -14,15 +14,15 @@
 
 namespace coursepond::standin {
 
-/// One thing that happened to a request at a back end.
+/// An event in the processing of a request at a back end.
 enum class JournalEvent {
-  kStarted,    ///< Took a slot: the work ran, at least in part.
-  kCompleted,  ///< The work ended and its answer was handed to the connection.
-  kCancelled,  ///< The work was stopped because the client went away.
-  kRefused,    ///< Answered "not run".
+  kStarted,    ///< The request took a slot: its work ran, at least in part.
+  kCompleted,  ///< The work completed; its answer is then passed to the connection.
+  kCancelled,  ///< Running work was stopped: client disconnected or deadline passed.
+  kRefused,    ///< Refused with the outcome "not run".
 };
 
-/// How often each event happened to one request id.
+/// Number of events of each kind for one request id.
 struct JournalEntry {
   std::uint32_t started = 0;
   std::uint32_t completed = 0;
@@ -36,8 +36,8 @@
 
 class Journal {
  public:
-  /// Also writes each event to the file, one line each, before the caller goes on. Fails with
-  /// kUnavailable. The file is appended to.
+  /// From now on also appends each event as a line to the file and flushes it before record()
+  /// returns. Fails with kUnavailable when the file cannot be opened.
   Result<std::string> openFile(const std::string& path);
 
   void record(std::string_view request_id, JournalEvent event);
@@ -56,11 +56,12 @@
   std::unique_ptr<std::FILE, CloseFile> file_;
 };
 
-/// Reads what Journal::format wrote and adds it to `entries`. Fails with kMalformed.
+/// Parses the output of Journal::format and adds it to `entries`. Returns the number of entries
+/// read. Fails with kMalformed.
 Result<std::size_t> mergeJournalText(std::string_view text, JournalEntries& entries);
 
-/// Reads the lines of a journal file and adds them to `entries`. A last line without its end is
-/// passed over. Fails with kMalformed.
+/// Parses the lines of a journal file and adds them to `entries`. An unterminated last line is
+/// ignored. Returns the number of lines read. Fails with kMalformed.
 Result<std::size_t> mergeJournalLines(std::string_view lines, JournalEntries& entries);
 
 }  // namespace coursepond::standin
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -1,4 +1,4 @@
-/// coursepond-standin: takes the place of the platform or of a back end in tests and the demo.
+/// coursepond-standin: simulates the platform or a back end in tests and in the demo.
 
 #include <exception>
 #include <iostream>
--- a/tools/standin/platform.cpp
+++ b/tools/standin/platform.cpp
@@ -89,10 +89,10 @@
     return malformed(std::string("a machine is malformed: ") + error.what());
   }
   if (machine.id.empty() || machine.address.empty()) {
-    return malformed("a machine lacks its id or address");
+    return malformed("a machine has no id or no address");
   }
   if (backend && machine.service.empty()) {
-    return malformed("back end '" + machine.id + "' lacks its service");
+    return malformed("back end '" + machine.id + "' has no service");
   }
   return machine;
 }
@@ -137,7 +137,7 @@
 
 Result<MachineList> parseMachineList(std::string_view text) {
   const json parsed = json::parse(text, nullptr, false);
-  if (!parsed.is_object()) return malformed("the machine list is no JSON object");
+  if (!parsed.is_object()) return malformed("the machine list is not a JSON object");
   MachineList list;
   if (parsed.contains("generation") && parsed["generation"].is_number_unsigned()) {
     list.generation = Generation(parsed["generation"].get<std::uint64_t>());
@@ -159,7 +159,7 @@
 Result<Version> Platform::publish(Version version) {
   if (!documents_.contains(version)) {
     return Error{ErrorKind::kNotFound,
-                 "there is no configuration " + std::to_string(version.value()),
+                 "no configuration with version " + std::to_string(version.value()),
                  "add it with POST /control/configurations/{version}"};
   }
   published_.newest = version;
@@ -176,8 +176,8 @@
   const auto found = std::find_if(machines.begin(), machines.end(),
                                   [&](const Machine& machine) { return machine.id == id; });
   if (found == machines.end()) {
-    return Error{ErrorKind::kNotFound, "there is no machine '" + std::string(id) + "'",
-                 "read /v1/machines for the ids"};
+    return Error{ErrorKind::kNotFound, "machine '" + std::string(id) + "' does not exist",
+                 "see /v1/machines for the ids"};
   }
   if (state == MachineState::kGone) {
     machines.erase(found);
@@ -203,11 +203,11 @@
 void Platform::setFault(PlatformFault fault, Duration delay) {
   fault_ = fault;
   delay_ = delay;
-  at_fault_ = published_;
+  state_at_fault_ = published_;
 }
 
-const Platform::Published& Platform::visible() const {
-  return fault_ == PlatformFault::kStale ? at_fault_ : published_;
+const Platform::PublishedState& Platform::visibleState() const {
+  return fault_ == PlatformFault::kStale ? state_at_fault_ : published_;
 }
 
 PlatformReply Platform::handle(const HttpRequest& request) {
@@ -220,10 +220,10 @@
     }
     return result;
   }
-  return spoil(handleRead(request));
+  return applyFault(handleRead(request));
 }
 
-PlatformReply Platform::spoil(HttpReply reply) {
+PlatformReply Platform::applyFault(HttpReply reply) {
   PlatformReply result;
   result.delay = delay_;
   switch (fault_) {
@@ -249,15 +249,15 @@
     case PlatformFault::kInvalidVersion:
       break;
   }
-  const bool answers_right = fault_ == PlatformFault::kNone || fault_ == PlatformFault::kStale;
-  if (!answers_right) ++statistics_.failed;
+  const bool answers_correctly = fault_ == PlatformFault::kNone || fault_ == PlatformFault::kStale;
+  if (!answers_correctly) ++statistics_.failed;
   result.reply = std::move(reply);
   return result;
 }
 
 std::string Platform::newestText() const {
   if (fault_ == PlatformFault::kInvalidVersion) return json{{"newest", "seven"}}.dump();
-  std::uint64_t newest = visible().newest.value();
+  std::uint64_t newest = visibleState().newest.value();
   if (fault_ == PlatformFault::kRegressing && newest > 1) --newest;
   return json{{"newest", newest}}.dump();
 }
@@ -265,7 +265,7 @@
 HttpReply Platform::handleRead(const HttpRequest& request) {
   if (request.method != "GET") {
     return errorReply(kMethodNotAllowed, {ErrorKind::kInvalidArgument,
-                                          "the platform's service can only be read", "use GET"});
+                                          "the platform service is read-only", "use GET"});
   }
   if (request.path == kConfigurationsPath) {
     ++statistics_.newest_reads;
@@ -273,7 +273,7 @@
   }
   if (request.path == "/v1/machines") {
     ++statistics_.machine_reads;
-    MachineList list = visible().machines;
+    MachineList list = visibleState().machines;
     if (fault_ == PlatformFault::kRegressing && list.generation.value() > 1) {
       list.generation = Generation(list.generation.value() - 1);
     }
@@ -283,12 +283,12 @@
   if (request.path.starts_with(prefix)) {
     ++statistics_.configuration_reads;
     const auto version = parseVersion(request.path.substr(prefix.size()));
-    if (version && *version <= visible().newest && documents_.contains(*version)) {
+    if (version && *version <= visibleState().newest && documents_.contains(*version)) {
       return conditionalReply(request, documents_.at(*version));
     }
   }
-  return errorReply(kNotFound, {ErrorKind::kNotFound, "there is no " + request.path,
-                                "read /v1/configurations for the newest version"});
+  return errorReply(kNotFound, {ErrorKind::kNotFound, "unknown path " + request.path,
+                                "see /v1/configurations for the newest version"});
 }
 
 HttpReply Platform::conditionalReply(const HttpRequest& request, std::string body) {
@@ -310,17 +310,17 @@
   if (request.path.starts_with("/control/machines")) return controlMachines(request);
   if (request.path.starts_with(kControlConfigurationsPath)) {
     const auto version = parseVersion(request.path.substr(kControlConfigurationsPath.size()));
-    if (!version) return errorReply(kBadRequest, malformed("the version is no number"));
+    if (!version) return errorReply(kBadRequest, malformed("the version is not a number"));
     addConfiguration(*version, request.body);
     return jsonReply(kOk, "{}");
   }
-  return errorReply(kNotFound, malformed("there is no control endpoint " + request.path));
+  return errorReply(kNotFound, malformed("unknown control endpoint " + request.path));
 }
 
 HttpReply Platform::controlPublish(const HttpRequest& request) {
   const json body = parseObject(request.body);
   if (!body.contains("version") || !body["version"].is_number_unsigned()) {
-    return errorReply(kBadRequest, malformed("publish needs {\"version\": N}"));
+    return errorReply(kBadRequest, malformed("the body of publish must be {\"version\": N}"));
   }
   const Result<Version> version = publish(Version(body["version"].get<std::uint64_t>()));
   if (!version) return errorReply(kNotFound, version.error());
@@ -331,7 +331,8 @@
   if (request.path == "/control/machines/state") {
     const json body = parseObject(request.body);
     const auto state = parseMachineState(body.value("state", std::string()));
-    if (!state) return errorReply(kBadRequest, malformed("the state is live, leaving or gone"));
+    if (!state)
+      return errorReply(kBadRequest, malformed("the state must be live, leaving or gone"));
     const Result<Generation> changed = setMachineState(body.value("id", std::string()), *state);
     if (!changed) return errorReply(kNotFound, changed.error());
   } else {
@@ -349,7 +350,7 @@
 HttpReply Platform::controlFault(const HttpRequest& request) {
   const json body = parseObject(request.body);
   const auto fault = parsePlatformFault(body.value("mode", std::string("none")));
-  if (!fault) return errorReply(kBadRequest, malformed("the fault mode is unknown"));
+  if (!fault) return errorReply(kBadRequest, malformed("unknown fault mode"));
   setFault(*fault, std::chrono::milliseconds(body.value("delay_ms", 0)));
   return jsonReply(kOk, "{}");
 }
--- a/tools/standin/platform_program.cpp
+++ b/tools/standin/platform_program.cpp
@@ -27,7 +27,8 @@
   return text.str();
 }
 
-/// Every file NUMBER.json of the folder becomes the configuration of that number.
+/// Adds every file NUMBER.json of the folder as the configuration with that version. Returns the
+/// highest version.
 Result<Version> loadConfigurations(const std::filesystem::path& folder, Platform& platform) {
   Version newest;
   std::error_code error;
@@ -44,12 +45,13 @@
   }
   if (error || newest == Version()) {
     return Error{ErrorKind::kNotFound, "no configurations in " + folder.string(),
-                 "put documents called 1.json, 2.json, ... there"};
+                 "add documents named 1.json, 2.json, ..."};
   }
   return newest;
 }
 
-/// Sends what the platform decided, at once or later.
+/// Carries out the platform's decision, after its delay if it has one. Hanging exchanges are kept
+/// open in `hanging`.
 void deliver(Environment& environment, const std::shared_ptr<HttpExchange>& exchange,
              std::vector<std::shared_ptr<HttpExchange>>& hanging, PlatformReply result) {
   if (result.delivery == PlatformReply::Delivery::kHang) return hanging.push_back(exchange);
