--- a/tests/process/control_path_test.cpp
+++ b/tests/process/control_path_test.cpp
@@ -15,19 +15,19 @@
 
 using std::chrono::seconds;
 
-/// Verdicts wait on conditions; these limits only end a test that would hang.
-constexpr Duration kGenerous = seconds(40);
+/// Checks wait for conditions. This limit only ends a test that would hang otherwise.
+constexpr Duration kHangTimeout = seconds(40);
 constexpr std::size_t kZones = 3;
 constexpr std::size_t kNodesPerZone = 6;
 constexpr int kSuccessClass = 2;
-/// Lets a new mesh start sooner, for stories that are not about starting.
+/// Shortens the start of a new mesh, for tests that are not about starting.
 constexpr char kShortStart[] = "[distribution]\nadoption_wait_ms = 1500\n";
 
-/// Three zones of six nodes, watched from the first moment; the steps of one story.
-class ControlStory {
+/// A mesh of three zones with six nodes each, watched from its start, and the steps of a test.
+class ControlScenario {
  public:
-  explicit ControlStory(const char* more_settings = "")
-      : mesh({kZones, kNodesPerZone, 1, more_settings}), watch(mesh.callerAddresses()) {}
+  explicit ControlScenario(const char* extra_settings = "")
+      : mesh({kZones, kNodesPerZone, 1, extra_settings}), watch(mesh.callerAddresses()) {}
 
   void publishAndAccept(Machine& through) {
     version = version.next();
@@ -37,20 +37,20 @@
 
   void acceptCurrent(Machine& through) {
     INFO("version ", version.value(), " through ", through.id);
-    REQUIRE(waitUntil(kGenerous, [&] { return mesh.accept(through, version); }));
+    REQUIRE(waitUntil(kHangTimeout, [&] { return mesh.accept(through, version); }));
   }
 
-  /// Waits until all hold the version, and prints how long that took from now.
-  void converge(const std::string& after) {
+  /// Waits until all nodes serve the version, and prints how long that took from this call.
+  void waitForConvergence(const std::string& after) {
     const TimePoint begin = watch.now();
     INFO("version ", version.value(), " after ", after);
-    CHECK(waitUntil(kGenerous, [&] { return watch.allHold(version, begin); }));
+    CHECK(waitUntil(kHangTimeout, [&] { return watch.allServe(version, begin); }));
     const Duration time = watch.now() - begin;
-    std::cout << "all " << mesh.nodes().size() << " nodes hold version " << version << ' '
+    std::cout << "all " << mesh.nodes().size() << " nodes serve version " << version << ' '
               << toMilliseconds(time) << " ms after " << after << std::endl;
   }
 
-  /// The first running node that holds the role and is not `except`.
+  /// Returns the first running node other than `except` that holds the role, or null.
   Machine* findRole(const std::string& role, const Machine* except = nullptr) {
     for (Machine& node : mesh.nodes()) {
       if (&node != except && node.process->running() && mesh.holdsRole(node, role)) return &node;
@@ -87,128 +87,128 @@
   }
 };
 
-void checkWatch(const ControlStory& story) {
-  for (const std::string& fault : story.watch.faults()) FAIL_CHECK(fault);
-  CHECK(story.watch.checkedAnswers() > 0);
+void checkWatch(const ControlScenario& scenario) {
+  for (const std::string& fault : scenario.watch.faults()) FAIL_CHECK(fault);
+  CHECK(scenario.watch.checkedAnswers() > 0);
 }
 
 }  // namespace
 
-TEST_CASE("an accepted version reaches every proxy through deaths of nodes") {
-  ControlStory story;
-  Mesh& mesh = story.mesh;
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a first confirmation");
-  story.publishAndAccept(mesh.nodes()[kNodesPerZone]);
-  story.converge("a confirmation");
+TEST_CASE("an accepted version reaches every proxy although nodes are killed") {
+  ControlScenario scenario;
+  Mesh& mesh = scenario.mesh;
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a first confirmation");
+  scenario.publishAndAccept(mesh.nodes()[kNodesPerZone]);
+  scenario.waitForConvergence("a confirmation");
 
   const auto half = [](std::size_t index) { return index % 2 == 1; };
-  story.killNodes(half);
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.startNodes(half);
-  story.converge("half of the nodes were killed and came back");
+  scenario.killNodes(half);
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.startNodes(half);
+  scenario.waitForConvergence("half of the nodes were killed and came back");
 
   const auto zone = [](std::size_t index) { return index >= 2 * kNodesPerZone; };
-  story.killNodes(zone);
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.startNodes(zone);
-  story.converge("a zone was killed and came back");
+  scenario.killNodes(zone);
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.startNodes(zone);
+  scenario.waitForConvergence("a zone was killed and came back");
 
   const auto all = [](std::size_t) { return true; };
-  story.killNodes(all);
-  story.startNodes(all);
-  story.converge("all nodes were killed and came back");
-  checkWatch(story);
+  scenario.killNodes(all);
+  scenario.startNodes(all);
+  scenario.waitForConvergence("all nodes were killed and came back");
+  checkWatch(scenario);
 }
 
-TEST_CASE("nodes that were frozen through two changes wake up to the newest") {
-  ControlStory story(kShortStart);
-  Mesh& mesh = story.mesh;
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a first confirmation");
-  Machine* reader = story.findRole("source_reader");
+TEST_CASE("nodes frozen during two changes serve the newest version once resumed") {
+  ControlScenario scenario(kShortStart);
+  Mesh& mesh = scenario.mesh;
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a first confirmation");
+  Machine* reader = scenario.findRole("source_reader");
   REQUIRE(reader != nullptr);
-  Machine* distributor = story.findRole("zone_distributor", reader);
+  Machine* distributor = scenario.findRole("zone_distributor", reader);
   REQUIRE(distributor != nullptr);
   const auto is_frozen = [&](const Machine& node) {
     return &node == reader || &node == distributor;
   };
-  Machine& awake = *std::find_if_not(mesh.nodes().begin(), mesh.nodes().end(), is_frozen);
+  Machine& running_node = *std::find_if_not(mesh.nodes().begin(), mesh.nodes().end(), is_frozen);
   reader->process->signal(SIGSTOP);
   distributor->process->signal(SIGSTOP);
-  story.publishAndAccept(awake);
-  story.publishAndAccept(awake);
+  scenario.publishAndAccept(running_node);
+  scenario.publishAndAccept(running_node);
   reader->process->signal(SIGCONT);
   distributor->process->signal(SIGCONT);
-  story.converge("a reader and a distributor were woken");
-  checkWatch(story);
+  scenario.waitForConvergence("a reader and a distributor were resumed");
+  checkWatch(scenario);
 }
 
-TEST_CASE("a zone that was frozen through a change wakes up to it, and so does a whole mesh") {
-  ControlStory story(kShortStart);
-  Mesh& mesh = story.mesh;
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a first confirmation");
+TEST_CASE("a zone frozen during a change catches up once resumed, and so does a whole mesh") {
+  ControlScenario scenario(kShortStart);
+  Mesh& mesh = scenario.mesh;
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a first confirmation");
   const auto zone = [](std::size_t index) { return index >= 2 * kNodesPerZone; };
-  story.signalNodes(zone, SIGSTOP);
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.signalNodes(zone, SIGCONT);
-  story.converge("a frozen zone was woken");
+  scenario.signalNodes(zone, SIGSTOP);
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.signalNodes(zone, SIGCONT);
+  scenario.waitForConvergence("a frozen zone was resumed");
 
   const auto all = [](std::size_t) { return true; };
-  story.signalNodes(all, SIGSTOP);
+  scenario.signalNodes(all, SIGSTOP);
   pauseFor(seconds(3));
-  story.signalNodes(all, SIGCONT);
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a frozen mesh was woken and a version accepted");
-  checkWatch(story);
+  scenario.signalNodes(all, SIGCONT);
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a frozen mesh was resumed and a version accepted");
+  checkWatch(scenario);
 }
 
-TEST_CASE("nodes that are replaced while the platform is away learn what is in force") {
-  ControlStory story;
-  Mesh& mesh = story.mesh;
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a confirmation");
+TEST_CASE("nodes restarted while the platform is unavailable learn the version in force") {
+  ControlScenario scenario;
+  Mesh& mesh = scenario.mesh;
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a confirmation");
   const auto half = [](std::size_t index) { return index % 2 == 1; };
   mesh.setPlatformFault("refuse");
-  story.killNodes(half);
-  story.startNodes(half);
-  story.converge("half of the nodes were replaced without a platform");
+  scenario.killNodes(half);
+  scenario.startNodes(half);
+  scenario.waitForConvergence("half of the nodes were restarted without a platform");
   mesh.setPlatformFault("none");
-  story.publishAndAccept(mesh.nodes()[1]);
-  story.converge("the platform came back and a version was accepted");
-  checkWatch(story);
+  scenario.publishAndAccept(mesh.nodes()[1]);
+  scenario.waitForConvergence("the platform came back and a version was accepted");
+  checkWatch(scenario);
 }
 
-TEST_CASE("an absent, stale or malformed platform changes nothing that is in force") {
-  ControlStory story(kShortStart);
-  Mesh& mesh = story.mesh;
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("a first confirmation");
+TEST_CASE("an unavailable, stale or malformed platform does not change the version in force") {
+  ControlScenario scenario(kShortStart);
+  Mesh& mesh = scenario.mesh;
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("a first confirmation");
 
   for (const char* fault : {"refuse", "stale", "truncated"}) {
     INFO(std::string(fault));
     mesh.setPlatformFault(fault);
-    mesh.publish(story.version.next());
-    CHECK(story.planIsRefused(story.version.next()));
-    CHECK(mesh.acceptedVersion(mesh.nodes()[1]) == story.version);
+    mesh.publish(scenario.version.next());
+    CHECK(scenario.planIsRefused(scenario.version.next()));
+    CHECK(mesh.acceptedVersion(mesh.nodes()[1]) == scenario.version);
     mesh.setPlatformFault("none");
-    story.version = story.version.next();
-    story.acceptCurrent(mesh.nodes()[0]);
-    story.converge(std::string("the platform was healed of: ") + fault);
+    scenario.version = scenario.version.next();
+    scenario.acceptCurrent(mesh.nodes()[0]);
+    scenario.waitForConvergence(std::string("the platform recovered from fault ") + fault);
   }
 
-  const Version bad = story.version.next();
+  const Version bad = scenario.version.next();
   mesh.publish(bad, R"({"version": )" + std::to_string(bad.value()) +
                         R"(, "routes": [{"name": "r", "service": "absent"}], "services": []})");
-  CHECK(story.planIsRefused(bad));
+  CHECK(scenario.planIsRefused(bad));
   mesh.publish(bad.next(), "{\"version\"");
-  CHECK(story.planIsRefused(bad.next()));
-  story.version = bad.next();
-  story.publishAndAccept(mesh.nodes()[0]);
-  story.converge("bad versions were skipped");
-  checkWatch(story);
+  CHECK(scenario.planIsRefused(bad.next()));
+  scenario.version = bad.next();
+  scenario.publishAndAccept(mesh.nodes()[0]);
+  scenario.waitForConvergence("bad versions were skipped");
+  checkWatch(scenario);
 }
 
 }  // namespace coursepond::process_tests
--- a/tests/process/data_path_test.cpp
+++ b/tests/process/data_path_test.cpp
@@ -15,18 +15,18 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kGenerous = seconds(30);
+constexpr Duration kHangTimeout = seconds(30);
 
-/// A mesh of two zones with two nodes each, with version 1 in force everywhere.
+/// A mesh of two zones with two nodes each, all of which serve version 1.
 class ServingMesh {
  public:
   ServingMesh()
       : mesh({.zones = 2,
               .nodes_per_zone = 2,
               .servers_per_service = 4,
-              .more_settings = "[distribution]\nadoption_wait_ms = 1500\n"}) {
-    REQUIRE(waitUntil(kGenerous, [&] { return mesh.accept(mesh.nodes()[0], Version(1)); }));
-    REQUIRE(mesh.waitForVersion(Version(1), kGenerous));
+              .extra_settings = "[distribution]\nadoption_wait_ms = 1500\n"}) {
+    REQUIRE(waitUntil(kHangTimeout, [&] { return mesh.accept(mesh.nodes()[0], Version(1)); }));
+    REQUIRE(mesh.waitForVersion(Version(1), kHangTimeout));
   }
 
   LoadProcess startLoad(Duration duration) {
@@ -38,16 +38,16 @@
   Mesh mesh;
 };
 
-/// Every promise to callers held; the run was no empty one.
-void checkPromises(const LoadVerdict& verdict, double least_answered_part) {
-  INFO(verdict.report);
-  CHECK(verdict.violations == 0);
-  CHECK(verdict.exit_status == 0);
-  CHECK(static_cast<double>(verdict.answered) >=
-        least_answered_part * static_cast<double>(verdict.requests));
+/// Checks that no guarantee to callers was violated and that enough requests were answered.
+void checkGuarantees(const LoadResult& result, double min_answered_ratio) {
+  INFO(result.report);
+  CHECK(result.violations == 0);
+  CHECK(result.exit_status == 0);
+  CHECK(static_cast<double>(result.answered) >=
+        min_answered_ratio * static_cast<double>(result.requests));
 }
 
-/// How many requests the back end began to work on, by its journal file.
+/// Returns how many requests the back end has started, according to its journal file.
 std::size_t countStarts(const Mesh& mesh, const std::string& back_end) {
   standin::JournalEntries entries;
   const std::string lines = mesh.folder().read(back_end + ".journal");
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-TEST_CASE("back ends are killed, frozen and drained under load") {
+TEST_CASE("no guarantee is violated when back ends are killed, frozen and drained under load") {
   ServingMesh serving;
   Mesh& mesh = serving.mesh;
   LoadProcess load = serving.startLoad(seconds(8));
@@ -73,33 +73,33 @@
   pauseFor(seconds(1));
   mesh.setMachineState("odd-3", "leaving");
   mesh.backEnd("odd-3").process->signal(SIGTERM);
-  CHECK(mesh.backEnd("odd-3").process->waitForExit(kGenerous) == 0);
-  checkPromises(load.finish(), 0.8);
+  CHECK(mesh.backEnd("odd-3").process->waitForExit(kHangTimeout) == 0);
+  checkGuarantees(load.finish(), 0.8);
 }
 
-TEST_CASE("a back end that is listed as leaving soon gets no new work") {
+TEST_CASE("a back end listed as leaving stops getting new work") {
   ServingMesh serving;
   Mesh& mesh = serving.mesh;
-  constexpr Duration kQuiet = seconds(1);
+  constexpr Duration kQuietPeriod = seconds(1);
   LoadProcess load = serving.startLoad(seconds(10));
-  REQUIRE(waitUntil(kGenerous, [&] { return countStarts(mesh, "odd-4") > 0; }));
+  REQUIRE(waitUntil(kHangTimeout, [&] { return countStarts(mesh, "odd-4") > 0; }));
   mesh.setMachineState("odd-4", "leaving");
   const auto begin = std::chrono::steady_clock::now();
   bool quiet = false;
   while (!quiet && load.running()) {
     const std::size_t before = countStarts(mesh, "odd-4");
-    pauseFor(kQuiet);
+    pauseFor(kQuietPeriod);
     quiet = countStarts(mesh, "odd-4") == before;
   }
   CHECK(quiet);
-  const auto time = std::chrono::steady_clock::now() - begin - kQuiet;
+  const auto time = std::chrono::steady_clock::now() - begin - kQuietPeriod;
   std::cout << "a leaving back end got its last request at most "
-            << std::chrono::duration_cast<milliseconds>(time).count() << " ms after its mark"
+            << std::chrono::duration_cast<milliseconds>(time).count() << " ms after it was marked"
             << std::endl;
-  checkPromises(load.finish(), 0.99);
+  checkGuarantees(load.finish(), 0.99);
 }
 
-TEST_CASE("nodes are killed and frozen under load") {
+TEST_CASE("no guarantee is violated when nodes are killed and frozen under load") {
   ServingMesh serving;
   Mesh& mesh = serving.mesh;
   LoadProcess load = serving.startLoad(seconds(7));
@@ -110,28 +110,28 @@
   pauseFor(milliseconds(1500));
   mesh.nodes()[1].process->signal(SIGCONT);
   mesh.startNode(mesh.nodes()[0]);
-  checkPromises(load.finish(), 0.8);
-  CHECK(mesh.waitForVersion(Version(1), kGenerous));
+  checkGuarantees(load.finish(), 0.8);
+  CHECK(mesh.waitForVersion(Version(1), kHangTimeout));
 }
 
-TEST_CASE("a planned stop of a node cuts no request") {
+TEST_CASE("a planned stop of a node interrupts no request") {
   ServingMesh serving;
   Mesh& mesh = serving.mesh;
   LoadProcess load = serving.startLoad(seconds(5));
   pauseFor(seconds(1));
   mesh.nodes()[0].process->signal(SIGTERM);
-  CHECK(mesh.nodes()[0].process->waitForExit(kGenerous) == 0);
+  CHECK(mesh.nodes()[0].process->waitForExit(kHangTimeout) == 0);
   pauseFor(seconds(1));
   mesh.nodes()[2].process->signal(SIGTERM);
-  CHECK(mesh.nodes()[2].process->waitForExit(kGenerous) == 0);
-  const LoadVerdict verdict = load.finish();
-  checkPromises(verdict, 0.99);
-  CHECK(verdict.cut == 0);
-  CHECK(verdict.no_answer == 0);
-  CHECK(verdict.unknown == 0);
+  CHECK(mesh.nodes()[2].process->waitForExit(kHangTimeout) == 0);
+  const LoadResult result = load.finish();
+  checkGuarantees(result, 0.99);
+  CHECK(result.cut == 0);
+  CHECK(result.no_answer == 0);
+  CHECK(result.unknown == 0);
 }
 
-TEST_CASE("callers keep their answers while the configuration changes") {
+TEST_CASE("callers get complete answers while the configuration changes") {
   ServingMesh serving;
   Mesh& mesh = serving.mesh;
   const VersionWatch watch(mesh.callerAddresses());
@@ -139,13 +139,13 @@
   for (std::uint64_t number = 2; number <= 4; ++number) {
     pauseFor(seconds(1));
     mesh.publish(Version(number));
-    CHECK(waitUntil(kGenerous, [&] { return mesh.accept(mesh.nodes()[1], Version(number)); }));
+    CHECK(waitUntil(kHangTimeout, [&] { return mesh.accept(mesh.nodes()[1], Version(number)); }));
   }
-  CHECK(mesh.waitForVersion(Version(4), kGenerous));
-  const LoadVerdict verdict = load.finish();
-  checkPromises(verdict, 0.99);
-  CHECK(verdict.cut == 0);
-  CHECK(verdict.no_answer == 0);
+  CHECK(mesh.waitForVersion(Version(4), kHangTimeout));
+  const LoadResult result = load.finish();
+  checkGuarantees(result, 0.99);
+  CHECK(result.cut == 0);
+  CHECK(result.no_answer == 0);
   CHECK(watch.faults().empty());
   CHECK(watch.checkedAnswers() > 0);
 }
--- a/tests/process/http_caller.cpp
+++ b/tests/process/http_caller.cpp
@@ -11,7 +11,8 @@
   context_.restart();
   while (!outcome && context_.run_one() > 0) {
   }
-  if (!outcome) return Error{ErrorKind::kUnavailable, "the call was given up", "try again"};
+  if (!outcome)
+    return Error{ErrorKind::kUnavailable, "the call ended without a result", "try again"};
   return std::move(*outcome);
 }
 
@@ -31,8 +32,8 @@
   request.target = target;
   request.body = body;
   if (!bearer_token.empty()) request.headers.push_back({"Authorization", "Bearer " + bearer_token});
-  constexpr Duration kOperatorPatience = std::chrono::seconds(20);
-  return call(address, std::move(request), kOperatorPatience);
+  constexpr Duration kOperatorCallTimeout = std::chrono::seconds(20);
+  return call(address, std::move(request), kOperatorCallTimeout);
 }
 
 std::string headerOf(const runtime::HttpClientResponse& response, std::string_view name) {
--- a/tests/process/http_caller.h
+++ b/tests/process/http_caller.h
@@ -12,7 +12,7 @@
 
 namespace coursepond::process_tests {
 
-/// One thread's client; keeps its connections.
+/// Blocking client for use by one thread; it keeps its connections open.
 class HttpCaller {
  public:
   HttpCaller() : client_(context_) {}
@@ -30,7 +30,7 @@
   runtime::HttpClient client_;
 };
 
-/// The header's value, or an empty text.
+/// Returns the value of the header, or an empty string.
 std::string headerOf(const runtime::HttpClientResponse& response, std::string_view name);
 
 }  // namespace coursepond::process_tests
--- a/tests/process/load_process.cpp
+++ b/tests/process/load_process.cpp
@@ -50,27 +50,28 @@
       duration_(plan.duration),
       process_("coursepond-load", makeArguments(plan), folder.file(kReportFile)) {}
 
-LoadVerdict LoadProcess::finish() {
-  constexpr Duration kPatience = std::chrono::seconds(40);
-  const auto status = process_.waitForExit(duration_ + kPatience);
-  if (!status) throw std::runtime_error("the load did not end");
-  LoadVerdict verdict;
-  verdict.exit_status = *status;
-  verdict.report = folder_.read(kReportFile);
-  const json report = json::parse(verdict.report, nullptr, false);
-  if (!report.is_object()) throw std::runtime_error("no report: " + verdict.report);
+LoadResult LoadProcess::finish() {
+  constexpr Duration kExitTimeout = std::chrono::seconds(40);
+  const auto status = process_.waitForExit(duration_ + kExitTimeout);
+  if (!status) throw std::runtime_error("coursepond-load did not exit in time");
+  LoadResult result;
+  result.exit_status = *status;
+  result.report = folder_.read(kReportFile);
+  const json report = json::parse(result.report, nullptr, false);
+  if (!report.is_object())
+    throw std::runtime_error("coursepond-load printed no JSON report: " + result.report);
   const json& outcomes = report.at("outcomes");
-  verdict.requests = report.at("requests");
-  verdict.answered = outcomes.at("answered");
-  verdict.not_run = outcomes.at("not_run");
-  verdict.unknown = outcomes.at("unknown");
-  verdict.cut = outcomes.at("cut");
-  verdict.no_answer = outcomes.at("no_answer");
-  verdict.not_sent = outcomes.at("not_sent");
+  result.requests = report.at("requests");
+  result.answered = outcomes.at("answered");
+  result.not_run = outcomes.at("not_run");
+  result.unknown = outcomes.at("unknown");
+  result.cut = outcomes.at("cut");
+  result.no_answer = outcomes.at("no_answer");
+  result.not_sent = outcomes.at("not_sent");
   for (const auto& [name, count] : report.at("violations").items()) {
-    verdict.violations += count.get<std::uint64_t>();
+    result.violations += count.get<std::uint64_t>();
   }
-  return verdict;
+  return result;
 }
 
 }  // namespace coursepond::process_tests
--- a/tests/process/load_process.h
+++ b/tests/process/load_process.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Runs coursepond-load beside a test and reads its verdict.
+/// Runs coursepond-load concurrently with a test and parses its report.
 
 #include <cstdint>
 #include <string>
@@ -11,15 +11,16 @@
 
 namespace coursepond::process_tests {
 
+/// Targets, rate and duration of a load run.
 struct LoadPlan {
   std::vector<Address> targets;
   std::vector<std::string> journal_files;
-  double rate = 300;
+  double rate = 300;  ///< Requests per second.
   Duration duration = std::chrono::seconds(6);
 };
 
-/// What coursepond-load found.
-struct LoadVerdict {
+/// The result of a run of coursepond-load.
+struct LoadResult {
   int exit_status = -1;
   std::uint64_t requests = 0;
   std::uint64_t answered = 0;
@@ -28,18 +29,19 @@
   std::uint64_t cut = 0;
   std::uint64_t no_answer = 0;
   std::uint64_t not_sent = 0;
-  std::uint64_t violations = 0;
-  std::string report;  ///< The whole JSON report, for a failing test's message.
+  std::uint64_t violations = 0;  ///< Sum of all kinds.
+  std::string report;            ///< The complete JSON report, printed when a test fails.
 };
 
-/// Sends lookups of several sizes, some of them slow or chunked, and unrepeatable bookings.
+/// Sends repeatable lookups of several sizes, some of them slow or chunked, and requests that must
+/// not be repeated.
 class LoadProcess {
  public:
   LoadProcess(const TestFolder& folder, const LoadPlan& plan);
 
   bool running() { return process_.running(); }
-  /// Waits for the end of the run. Throws when it does not end in time or prints no report.
-  LoadVerdict finish();
+  /// Waits for the end of the run. Throws when it does not exit in time or prints no report.
+  LoadResult finish();
 
  private:
   const TestFolder& folder_;
--- a/tests/process/mesh.cpp
+++ b/tests/process/mesh.cpp
@@ -27,7 +27,8 @@
 constexpr int kSuccessClass = 2;
 constexpr Duration kStartLimit = std::chrono::seconds(20);
 
-/// Each mesh of this machine gets a 16-bit part of 127.0.0.0/8 of its own, from its process id.
+/// Returns the first three octets of a /24 subnet of 127.0.0.0/8 for one mesh. It is derived from
+/// the process id, so that the meshes of concurrent test processes use different addresses.
 std::string nextSubnet() {
   static std::atomic<unsigned> meshes{0};
   constexpr unsigned kMeshesPerProcess = 16;
@@ -122,7 +123,7 @@
   for (std::size_t zone = 0; zone < shape_.zones; ++zone) {
     text << (zone > 0 ? ", " : "") << '"' << static_cast<char>('a' + zone) << '"';
   }
-  text << "]\n[admin]\ntoken = \"" << kToken << "\"\n" << shape_.more_settings;
+  text << "]\n[admin]\ntoken = \"" << kToken << "\"\n" << shape_.extra_settings;
   return text.str();
 }
 
@@ -162,7 +163,8 @@
     answer = caller_.post(address, path, body);
     return answer.has_value();
   });
-  if (!answer || answer->status != kOk) throw std::runtime_error("platform control: " + path);
+  if (!answer || answer->status != kOk)
+    throw std::runtime_error("the platform stand-in refused or did not answer " + path);
 }
 
 void Mesh::publish(Version version, const std::string& document) {
--- a/tests/process/mesh.h
+++ b/tests/process/mesh.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A whole mesh of real processes on loopback addresses of its own: platform stand-in, nodes and
+/// A complete mesh of real processes on its own loopback addresses: platform stand-in, nodes and
 /// back ends.
 
 #include <memory>
@@ -16,21 +16,21 @@
   std::size_t zones = 1;
   std::size_t nodes_per_zone = 2;
   std::size_t servers_per_service = 3;
-  std::string more_settings;  ///< TOML for the end of every node's settings.
+  std::string extra_settings;  ///< TOML text appended to the settings of every node.
 };
 
-/// One machine of the mesh and its process, when it runs one.
+/// A machine of the mesh and its process. The process is null before its first start.
 struct Machine {
   std::string id;
   std::string zone;
-  std::string host;     ///< Its loopback address.
+  std::string host;     ///< Loopback address of the machine.
   std::string service;  ///< Of a back end; empty for a node.
   std::unique_ptr<ProcessHandle> process;
 };
 
 class Mesh {
  public:
-  /// Starts the platform, which has published version 1, all back ends and all nodes.
+  /// Starts the platform with version 1 published, all back ends and all nodes.
   explicit Mesh(MeshShape shape);
 
   std::vector<Machine>& nodes() { return nodes_; }
@@ -41,28 +41,32 @@
   Address adminAddress(const Machine& node) const;
   std::vector<Address> callerAddresses() const;
   const TestFolder& folder() const { return folder_; }
-  /// Journal files of all back ends; they outlive killed ones.
+  /// Journal files of all back ends. They survive when a back end is killed.
   std::vector<std::string> journalFiles() const;
 
   void startNode(Machine& node);
   void startBackEnd(Machine& back_end);
 
-  /// Publishes a version of testDocument(), or of `document` when that is given.
+  /// Publishes `document` as that version, or testDocument(version) if `document` is empty.
   void publish(Version version, const std::string& document = "");
-  /// See standin::Platform's control endpoint: "none", "stale", "refuse", ...
+  /// Sets the fault of the platform stand-in: "none", "stale", "refuse", ..., see
+  /// standin::PlatformFault.
   void setPlatformFault(const std::string& mode);
-  /// "live", "leaving" or "gone" on the platform's machine list.
+  /// Sets the state on the platform's machine list: "live", "leaving" or "gone".
   void setMachineState(const std::string& id, const std::string& state);
 
-  /// Plans and confirms through that node. The answer of the last call made is returned.
+  /// Requests a plan for the version from that node's admin endpoint.
   Result<runtime::HttpClientResponse> plan(const Machine& node, Version version);
+  /// Confirms the plan with that id through that node.
   Result<runtime::HttpClientResponse> confirm(const Machine& node, const std::string& plan_id);
-  /// Plans and confirms once; true when the version is accepted then.
+  /// Plans and confirms once. Returns true when the confirmation succeeded or the node reports
+  /// `version` or a later one as accepted.
   bool accept(const Machine& node, Version version);
 
-  /// Whether the node's status says that it holds "source_reader", "zone_distributor" or "voter".
+  /// Returns whether the node reports that it holds the role: "source_reader", "zone_distributor"
+  /// or "voter".
   bool holdsRole(const Machine& node, const std::string& role);
-  /// The version that the node knows as accepted; zero when it does not answer.
+  /// Returns the accepted version that the node reports, or zero when it does not answer.
   Version acceptedVersion(const Machine& node);
 
   /// Waits until every running node answers callers under `version` or a later one.
--- a/tests/process/process_handle.cpp
+++ b/tests/process/process_handle.cpp
@@ -43,24 +43,24 @@
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_path.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // Sockets of the test that the child kept would neither close nor free their ports.
+  // Without this, sockets inherited from the test would stay open and keep their ports in use.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
-  const int error = posix_spawn(&id_, path.c_str(), &actions, nullptr, argv.data(), environ);
+  const int error = posix_spawn(&pid_, path.c_str(), &actions, nullptr, argv.data(), environ);
   posix_spawn_file_actions_destroy(&actions);
   if (error != 0) throw std::system_error(error, std::generic_category(), path);
 }
 
 ProcessHandle::ProcessHandle(ProcessHandle&& other) noexcept
-    : id_(std::exchange(other.id_, -1)), status_(other.status_) {}
+    : pid_(std::exchange(other.pid_, -1)), status_(other.status_) {}
 
 ProcessHandle::~ProcessHandle() {
-  if (id_ > 0) killNow();
+  if (pid_ > 0) killNow();
 }
 
-bool ProcessHandle::collect(bool block) {
+bool ProcessHandle::reap(bool block) {
   if (status_) return true;
   int status = 0;
-  if (waitpid(id_, &status, block ? 0 : WNOHANG) != id_) return false;
+  if (waitpid(pid_, &status, block ? 0 : WNOHANG) != pid_) return false;
   status_ = decodeStatus(status);
   return true;
 }
@@ -69,28 +69,29 @@
   if (!running()) return;
   sigval information{};
   information.sival_int = value;
-  sigqueue(id_, number, information);
+  sigqueue(pid_, number, information);
 }
 
 void ProcessHandle::signal(int number) {
-  if (!collect(false)) ::kill(id_, number);
+  if (!reap(false)) ::kill(pid_, number);
 }
 
 void ProcessHandle::killNow() {
   signal(SIGKILL);
-  collect(true);
+  reap(true);
 }
 
-bool ProcessHandle::running() { return !collect(false); }
+bool ProcessHandle::running() { return !reap(false); }
 
 std::optional<int> ProcessHandle::waitForExit(Duration limit) {
-  waitUntil(limit, [this] { return collect(false); });
+  waitUntil(limit, [this] { return reap(false); });
   return status_;
 }
 
 TestFolder::TestFolder() {
   std::string pattern = (std::filesystem::temp_directory_path() / "coursepond-XXXXXX").string();
-  if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder");
+  if (mkdtemp(pattern.data()) == nullptr)
+    throw std::runtime_error("cannot create a temporary folder");
   path_ = pattern;
 }
 
--- a/tests/process/process_handle.h
+++ b/tests/process/process_handle.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// One child process of a test. It never outlives its handle.
+/// A child process of a test. It is killed at the latest when its handle is destroyed.
 
 #include <sys/types.h>
 
@@ -14,39 +14,40 @@
 
 class ProcessHandle {
  public:
-  /// Starts `program` of the folder that COURSEPOND_BIN names; its output goes to `log_path`.
-  /// Throws std::system_error when it can't be started.
+  /// Starts `program` from the folder named by COURSEPOND_BIN and appends its output to `log_path`.
+  /// Throws std::system_error when it cannot be started.
   ProcessHandle(const std::string& program, const std::vector<std::string>& arguments,
                 const std::string& log_path);
-  /// Kills the process if it still runs.
+  /// Kills the process if it is still running.
   ~ProcessHandle();
   ProcessHandle(ProcessHandle&& other) noexcept;
   ProcessHandle& operator=(ProcessHandle&&) = delete;
   ProcessHandle(const ProcessHandle&) = delete;
   ProcessHandle& operator=(const ProcessHandle&) = delete;
 
-  /// Does nothing once the process has ended.
+  /// Sends a signal. Does nothing once the process has ended.
   void signal(int number);
-  /// The same with a number that the process's handler gets.
+  /// Sends a signal with a value for the process's signal handler (sigqueue).
   void signal(int number, int value);
-  /// SIGKILL, and waits for the end.
+  /// Sends SIGKILL and waits for the process to end.
   void killNow();
   bool running();
-  /// The exit status, or minus the signal that ended it; empty when it still runs after `limit`.
+  /// Waits at most `limit`. Returns the exit status, or the negated number of the signal that ended
+  /// the process, or nothing when it is still running.
   std::optional<int> waitForExit(Duration limit);
 
  private:
-  bool collect(bool block);
+  bool reap(bool block);
 
-  pid_t id_ = -1;
+  pid_t pid_ = -1;
   std::optional<int> status_;
 };
 
-/// Polls `condition` until it holds; false after `limit`.
+/// Polls `condition` until it is true. Returns false when `limit` has passed.
 template <typename Condition>
 bool waitUntil(Duration limit, Condition condition);
 
-/// The folder of a test's files; removed at its end unless COURSEPOND_KEEP_LOGS is set.
+/// Temporary folder for a test's files, removed on destruction unless COURSEPOND_KEEP_LOGS is set.
 class TestFolder {
  public:
   TestFolder();
@@ -62,7 +63,7 @@
   std::string path_;
 };
 
-/// Sleeps for `time`; a test's own pace, never a verdict.
+/// Sleeps for `time`. Use it to pace the steps of a test, never to decide a check.
 void pauseFor(Duration time);
 
 template <typename Condition>
--- a/tests/process/test_configuration.cpp
+++ b/tests/process/test_configuration.cpp
@@ -52,7 +52,7 @@
   return Version(value);
 }
 
-bool fitsItsVersion(const runtime::HttpClientResponse& response) {
+bool matchesItsVersion(const runtime::HttpClientResponse& response) {
   if (response.status != kOk) return true;
   const Version version = versionOf(response);
   const bool right_service = headerOf(response, "X-Backend").starts_with(serviceOf(version));
--- a/tests/process/test_configuration.h
+++ b/tests/process/test_configuration.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// Configurations whose parts betray their version, so that a caller can see one applied in part:
-/// in version V the routes lead to the service of V's parity, and carry the secret of V.
+/// Test configurations in which every part depends on the version, so that a caller can detect a
+/// partially applied configuration: in version V the routes lead to the service for the parity of V
+/// and send the secret of V.
 
 #include <string>
 
@@ -10,22 +11,23 @@
 
 namespace coursepond::process_tests {
 
-/// Requests that may not be repeated go under this path, others anywhere else.
+/// Path prefix of the requests that must not be repeated.
 inline constexpr char kOncePath[] = "/once";
-/// Asks the back end for the header that the route's secret sets.
+/// Target whose answer echoes the header that the route sets from its secret.
 inline constexpr char kWitnessTarget[] = "/witness?echo=X-Key&size=16";
 
-/// The services: versions of even and of odd number use one each.
+/// Service names for even and for odd versions.
 inline constexpr char kEvenService[] = "even";
 inline constexpr char kOddService[] = "odd";
 
-/// The document of that version.
+/// Returns the configuration document of that version.
 std::string testDocument(Version version);
 
-/// Whether an answer to kWitnessTarget fits the version it names. Refusals fit any.
-bool fitsItsVersion(const runtime::HttpClientResponse& response);
+/// Returns whether the service and the secret in an answer to kWitnessTarget belong to the version
+/// that the answer names. Returns true for refusals.
+bool matchesItsVersion(const runtime::HttpClientResponse& response);
 
-/// The version an answer names; zero for none.
+/// Returns the version that an answer names, or zero if it names none.
 Version versionOf(const runtime::HttpClientResponse& response);
 
 }  // namespace coursepond::process_tests
--- a/tests/process/version_watch.cpp
+++ b/tests/process/version_watch.cpp
@@ -50,8 +50,8 @@
   if (version < node.highest) {
     fault << "version " << version << " after " << node.highest;
     faults_.push_back(fault.str());
-  } else if (!fitsItsVersion(response)) {
-    fault << "an answer does not fit version " << version;
+  } else if (!matchesItsVersion(response)) {
+    fault << "an answer does not match version " << version;
     faults_.push_back(fault.str());
   }
   node.highest = std::max(node.highest, version);
@@ -59,7 +59,7 @@
   node.asked_at = asked_at;
 }
 
-bool VersionWatch::allHold(Version version, TimePoint since) const {
+bool VersionWatch::allServe(Version version, TimePoint since) const {
   const std::scoped_lock lock(mutex_);
   return std::all_of(nodes_.begin(), nodes_.end(), [&](const Node& node) {
     return node.asked_at >= since && node.latest >= version;
--- a/tests/process/version_watch.h
+++ b/tests/process/version_watch.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// Asks every node again and again, as its caller, which version it answers under, and notes any
-/// version that goes back and any answer that does not fit its version.
+/// Polls every node as a caller and records any decrease of the configuration version and any
+/// answer that does not match the version it names.
 
 #include <boost/asio/io_context.hpp>
 #include <map>
@@ -20,29 +20,30 @@
 
 class VersionWatch {
  public:
-  /// Watches from now until its end, on a thread of its own.
+  /// Polls the nodes on a separate thread until destruction.
   explicit VersionWatch(const std::vector<Address>& nodes);
   ~VersionWatch();
   VersionWatch(const VersionWatch&) = delete;
   VersionWatch& operator=(const VersionWatch&) = delete;
 
-  /// What went wrong so far: "127.0.0.1:8080: version 2 after 3". A node that was restarted must
-  /// not go below what its machine held before either.
+  /// Returns the faults so far, such as "127.0.0.1:8080: version 2 after 3". The version must not
+  /// decrease across a restart of a node either.
   std::vector<std::string> faults() const;
-  /// Whether every node answered a request sent after `since` under `version` or a later one.
-  bool allHold(Version version, TimePoint since) const;
+  /// Returns whether the latest answer of every node is to a request sent at or after `since` and
+  /// names `version` or a later one.
+  bool allServe(Version version, TimePoint since) const;
   TimePoint now() const { return environment_.now(); }
-  /// Answers that named a version.
+  /// Number of answers that named a version.
   std::uint64_t observations() const;
-  /// Answers to which the check of parts applied.
+  /// Number of answers that were compared with the version they named; refusals are not.
   std::uint64_t checkedAnswers() const;
 
  private:
   struct Node {
     Address address;
     Version highest;
-    Version latest;      ///< Of the newest answer.
-    TimePoint asked_at;  ///< When the request was sent that got the newest answer.
+    Version latest;      ///< Version named by the latest answer.
+    TimePoint asked_at;  ///< Send time of the request with the latest answer.
   };
 
   void poll(Node& node);
