--- a/tests/platform/soak/back_end.cpp
+++ b/tests/platform/soak/back_end.cpp
@@ -35,7 +35,7 @@
   std::size_t answer_bytes = 0;
   Duration time{};
   std::uint64_t crasher = 0;  ///< See Request::crasher.
-  std::size_t run = 0;        ///< Its place in the request's runs.
+  std::size_t run = 0;        ///< Index in Request::runs.
   bool is_over = false;
   TimerId timer = 0;
 };
@@ -99,7 +99,7 @@
     work->run = request->runs.size();
     request->runs.push_back({instance_, machine_, environment_.now(), TimePoint(), false});
   }
-  const auto time = Duration(static_cast<Duration::rep>(work->time.count() * slowness_));
+  const auto time = Duration(static_cast<Duration::rep>(work->time.count() * slowdown_));
   work->timer = environment_.schedule(time, [this, work] { finish(work); });
 }
 
@@ -115,15 +115,15 @@
 void BackEnd::answer(const Work& work) const {
   const Request* const request = ledger_.find(work.id);
   const bool is_first_run = request != nullptr && work.run == 0;
-  const Spoil spoil = is_first_run ? request->spoil : Spoil::kNone;
-  if (spoil == Spoil::kCut) return work.responder.cut();
+  const AnswerFault injected_fault = is_first_run ? request->injected_fault : AnswerFault::kNone;
+  if (injected_fault == AnswerFault::kCut) return work.responder.cut();
   runtime::HttpResponse response;
   response.headers = {{wire::kRequestId, work.id},
                       {wire::kSignature, signatureOf(work.id)},
                       {wire::kInstance, instance_}};
-  if (spoil == Spoil::kFailure) response.status = kServerFailure;
+  if (injected_fault == AnswerFault::kFailure) response.status = kServerFailure;
   std::string body = standin::makeAnswerBody(work.id, work.answer_bytes);
-  if (spoil != Spoil::kHalf) {
+  if (injected_fault != AnswerFault::kHalf) {
     response.body = std::move(body);
     return work.responder.respond(std::move(response));
   }
@@ -132,7 +132,7 @@
   work.responder.cut();
 }
 
-/// The connection ended before the answer: the work is dropped.
+/// Called when the connection closes before the response is sent. Cancels the work.
 void BackEnd::drop(const WorkPointer& work) {
   if (std::exchange(work->is_over, true)) return;
   environment_.cancel(work->timer);
--- a/tests/platform/soak/back_end.h
+++ b/tests/platform/soak/back_end.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The server of one machine: runs requests in slots, names its instance, refuses what is meant for
-/// another one, signs its answers. Notes each run in the ledger.
+/// The application server of one machine. It executes requests in a fixed number of slots, refuses
+/// requests for another instance, signs its responses with its instance id, and records each
+/// execution in the ledger.
 
 #include <boost/asio/io_context.hpp>
 #include <deque>
@@ -16,31 +17,32 @@
 
 namespace coursepond::soak {
 
-/// The signature of a server's answer to the request of that id.
+/// Returns the signature that a server puts on its response to the request with this id.
 std::string signatureOf(const std::string& request_id);
 
 class BackEnd {
  public:
-  /// Told of each request as it is read, except those that are meant for another instance.
+  /// Called for each request that was read, except those for another instance.
   using ArrivalHandler = std::function<void(const std::string& request_id)>;
 
-  /// Told that a request of that number crashed the server, which is to be ended then.
+  /// Called when the crashing request with this number was executed. The owner then has to
+  /// destroy the server.
   using CrashHandler = std::function<void(std::uint64_t crasher)>;
 
-  /// Listens at once; throws std::runtime_error when the address cannot be bound. All references
-  /// must outlive it.
+  /// Starts to listen. Throws std::runtime_error if the address cannot be bound. All references
+  /// must outlive the server.
   BackEnd(boost::asio::io_context& context, Environment& environment, Ledger& ledger,
           std::string machine, std::string instance, const Address& listen,
           ArrivalHandler on_arrival, CrashHandler on_crash);
-  /// Cuts what runs, as a crash does.
+  /// Aborts all running requests, as a crash does.
   ~BackEnd();
   BackEnd(const BackEnd&) = delete;
   BackEnd& operator=(const BackEnd&) = delete;
 
   const std::string& instance() const { return instance_; }
   std::size_t busy() const { return running_.size() + waiting_.size(); }
-  /// Work takes so many times longer.
-  void setSlowness(double factor) { slowness_ = factor; }
+  /// Multiplies the execution time of requests that start from now on.
+  void setSlowdown(double factor) { slowdown_ = factor; }
   static constexpr std::uint32_t kSlots = 12;
 
  private:
@@ -62,7 +64,7 @@
   std::string instance_;
   ArrivalHandler on_arrival_;
   CrashHandler on_crash_;
-  double slowness_ = 1.0;
+  double slowdown_ = 1.0;
   std::set<WorkPointer> running_;
   std::deque<WorkPointer> waiting_;
   std::unique_ptr<runtime::HttpServer> server_;
--- a/tests/platform/soak/client.cpp
+++ b/tests/platform/soak/client.cpp
@@ -28,11 +28,11 @@
 namespace {
 
 constexpr std::size_t kPipelineDepth = 3;
-/// How far beyond its deadline a request is waited for.
-constexpr Duration kPatienceBeyondDeadline = std::chrono::seconds(1);
+/// How long a client waits for a response after the deadline of the request.
+constexpr Duration kTimeoutBeyondDeadline = std::chrono::seconds(1);
 constexpr Duration kReconnectPause = std::chrono::milliseconds(100);
-/// With nothing to send, a client looks again after this.
-constexpr Duration kLookAgain = std::chrono::milliseconds(200);
+/// Interval at which a client that has nothing to send asks for the next request.
+constexpr Duration kIdlePollInterval = std::chrono::milliseconds(200);
 constexpr std::uint64_t kAnswerLimit = 8 * 1024 * 1024;
 constexpr int kServerFailure = 500;
 constexpr int kFirstSuccess = 200;
@@ -40,7 +40,7 @@
 
 using Parser = http::response_parser<http::string_body>;
 
-/// One connection with the requests that wait on it, in the order they were sent.
+/// One connection and its pending requests in the order in which they were sent.
 struct Connection {
   explicit Connection(asio::io_context& context) : socket(context) {}
 
@@ -48,33 +48,34 @@
   beast::flat_buffer buffer;
   std::unique_ptr<Parser> parser;
   std::deque<Request*> waiting;
-  std::uint32_t node_life = 0;
+  std::uint32_t node_incarnation = 0;
   bool is_open = false;
 };
 using ConnectionPointer = std::shared_ptr<Connection>;
 
-/// What is wrong with an answer as such; empty when nothing is.
-std::string faultOf(const Request& request, const Parser::value_type& answer) {
+/// Returns what is wrong with the response itself, or an empty string if it is correct.
+std::string answerErrorOf(const Request& request, const Parser::value_type& answer) {
   const std::string id(answer[wire::kRequestId]);
-  if (!id.empty() && id != request.id) return "the answer has the id " + id;
+  if (!id.empty() && id != request.id) return "the response has the request id " + id;
   const int status = static_cast<int>(answer.result_int());
-  if (status < kFirstSuccess) return "an interim answer that was not asked for";
+  if (status < kFirstSuccess) return "an interim response that was not requested";
   const std::string signature(answer[wire::kSignature]);
   const bool is_success = status >= kFirstSuccess && status < kFirstBeyondSuccess;
-  const bool is_servers_failure =
-      request.spoil == Spoil::kFailure && status == kServerFailure && !signature.empty();
+  const bool is_servers_failure = request.injected_fault == AnswerFault::kFailure &&
+                                  status == kServerFailure && !signature.empty();
   if (!is_success && !is_servers_failure) {
-    return signature.empty() ? "" : "a failure with a signature that no server sent";
+    return signature.empty() ? "" : "an error response with a signature that no server has sent";
   }
-  if (id.empty()) return "a server's answer without the request's id";
-  if (signature != signatureOf(request.id)) return "a server's answer without its signature";
+  if (id.empty()) return "a server response without the request id";
+  if (signature != signatureOf(request.id))
+    return "a server response with a missing or wrong signature";
   switch (standin::checkAnswerBody(request.id, request.answer_bytes, answer.body())) {
     case standin::AnswerBodyCheck::kRight:
       return "";
     case standin::AnswerBodyCheck::kShort:
-      return "the body is short but looks whole";
+      return "the body is truncated, but the response looks complete";
     case standin::AnswerBodyCheck::kForeign:
-      return "the body is not this request's";
+      return "the body belongs to another request";
   }
   return "";
 }
@@ -103,7 +104,7 @@
         hooks_(std::move(hooks)),
         random_(settings_.seed) {}
 
-  void start() { sendLater(randomPause()); }
+  void start() { scheduleSend(randomPause()); }
   void finish() { is_finished_ = true; }
   void leave() {
     is_finished_ = true;
@@ -113,47 +114,46 @@
   }
 
  private:
-  /// Runs `step` later unless the client has gone.
-  TimerId later(Duration delay, void (Implementation::*step)()) {
-    return environment_.schedule(delay, [self = weak_from_this(), step] {
-      const auto alive = self.lock();
-      if (alive && !alive->is_gone_) ((*alive).*step)();
-    });
-  }
-  void sendLater(Duration delay) {
-    environment_.cancel(timer_);
-    timer_ = later(delay, &Client::Implementation::sendNext);
-  }
-  Duration randomPause() {
-    std::uniform_real_distribution<double> part(0.3, 1.7);
-    return Duration(
-        static_cast<Duration::rep>(static_cast<double>(settings_.pause.count()) * part(random_)));
-  }
+  /// Runs `step` after `delay` unless the client was destroyed by then.  TimerId schedule(Duration
+  /// delay, void (Implementation::*step)()) {
+  return environment_.schedule(delay, [self = weak_from_this(), step] {
+    const auto alive = self.lock();
+    if (alive && !alive->is_gone_) ((*alive).*step)();
+  });
+} void scheduleSend(Duration delay) {
+  environment_.cancel(timer_);
+  timer_ = schedule(delay, &Client::Implementation::sendNext);
+}
+Duration randomPause() {
+  std::uniform_real_distribution<double> part(0.3, 1.7);
+  return Duration(
+      static_cast<Duration::rep>(static_cast<double>(settings_.pause.count()) * part(random_)));
+}
 
-  void sendNext();
-  void connect();
-  void onConnected(const ConnectionPointer& connection, const error_code& status);
-  void send(const RequestPlan& plan);
-  void watch(Request& request);
-  void readNext(const ConnectionPointer& connection);
-  void onRead(const ConnectionPointer& connection, const error_code& status);
-  void onAnswer(const ConnectionPointer& connection);
-  void onLost(const ConnectionPointer& connection);
-  void end(Request& request, RequestEnd how);
-  void giveUp(const std::string& id, bool is_on_purpose);
-  void closeNow();
-
-  asio::io_context& context_;
-  Environment& environment_;
-  Ledger& ledger_;
-  ClientSettings settings_;
-  ClientHooks hooks_;
-  RandomEngine random_;
-  ConnectionPointer connection_;
-  TimerId timer_ = 0;
-  std::uint64_t sent_ = 0;
-  bool is_finished_ = false;
-  bool is_gone_ = false;
+void sendNext();
+void connect();
+void onConnected(const ConnectionPointer& connection, const error_code& status);
+void send(const RequestPlan& plan);
+void scheduleTimeout(Request& request);
+void readNext(const ConnectionPointer& connection);
+void onRead(const ConnectionPointer& connection, const error_code& status);
+void onAnswer(const ConnectionPointer& connection);
+void onLost(const ConnectionPointer& connection);
+void end(Request& request, RequestEnd how);
+void giveUp(const std::string& id, bool is_on_purpose);
+void closeNow();
+
+asio::io_context& context_;
+Environment& environment_;
+Ledger& ledger_;
+ClientSettings settings_;
+ClientHooks hooks_;
+RandomEngine random_;
+ConnectionPointer connection_;
+TimerId timer_ = 0;
+std::uint64_t sent_ = 0;
+bool is_finished_ = false;
+bool is_gone_ = false;
 };
 
 void Client::Implementation::sendNext() {
@@ -163,7 +163,7 @@
   const std::size_t most = settings_.style == ClientStyle::kPipelined ? kPipelineDepth : 1;
   while (connection_ && connection_->waiting.size() < most) {
     const std::optional<RequestPlan> plan = hooks_.plan(random_);
-    if (!plan) return sendLater(kLookAgain);
+    if (!plan) return scheduleSend(kIdlePollInterval);
     send(*plan);
   }
 }
@@ -183,12 +183,12 @@
   if (connection != connection_) return;
   if (status) {
     connection_.reset();
-    return sendLater(kReconnectPause);
+    return scheduleSend(kReconnectPause);
   }
   error_code ignored;
   connection->socket.set_option(Tcp::no_delay(true), ignored);
   connection->is_open = true;
-  connection->node_life = hooks_.node_life();
+  connection->node_incarnation = hooks_.node_incarnation();
   readNext(connection);
   sendNext();
 }
@@ -202,30 +202,31 @@
                    "&time_ms=" + std::to_string(toMilliseconds(plan.work));
   if (plan.crasher > 0) request.target += "&crasher=" + std::to_string(plan.crasher);
   request.crasher = plan.crasher;
-  request.node_life = connection_->node_life;
+  request.node_incarnation = connection_->node_incarnation;
   request.is_repeatable = plan.is_repeatable;
-  request.was_behind = !connection_->waiting.empty();
+  request.was_pipelined = !connection_->waiting.empty();
   request.answer_bytes = plan.answer_bytes;
   request.body_bytes = plan.body_bytes;
-  request.spoil = plan.spoil;
+  request.injected_fault = plan.injected_fault;
   request.sent = environment_.now();
   request.deadline = plan.deadline;
   auto text = std::make_shared<std::string>(headOf(request));
   if (!plan.is_repeatable) text->append(plan.body_bytes, 'b');
   Request* const opened = ledger_.open(std::move(request));
   connection_->waiting.push_back(opened);
-  watch(*opened);
-  // A failed write shows at the read.
+  scheduleTimeout(*opened);
+  // A failed write is detected by the pending read.
   asio::async_write(connection_->socket, asio::buffer(*text),
                     [text, connection = connection_](const error_code&, std::size_t) {});
 }
 
-/// Gives the request up in time, some of them early and on purpose.
-void Client::Implementation::watch(Request& request) {
+/// Schedules the timeout of the request. A random fraction of the requests is abandoned early on
+/// purpose.
+void Client::Implementation::scheduleTimeout(Request& request) {
   std::uniform_real_distribution<double> part(0.0, 1.0);
-  const bool leaves = part(random_) < settings_.leaving_part;
+  const bool leaves = part(random_) < settings_.abandon_fraction;
   const Duration early(static_cast<Duration::rep>(part(random_) * 300'000.0));
-  environment_.schedule(leaves ? early : request.deadline + kPatienceBeyondDeadline,
+  environment_.schedule(leaves ? early : request.deadline + kTimeoutBeyondDeadline,
                         [self = weak_from_this(), id = request.id, leaves] {
                           const auto alive = self.lock();
                           if (alive && !alive->is_gone_) alive->giveUp(id, leaves);
@@ -249,14 +250,14 @@
 void Client::Implementation::onAnswer(const ConnectionPointer& connection) {
   const Parser::value_type& answer = connection->parser->get();
   if (connection->waiting.empty()) {
-    // A refusal of an idle connection (408) is no answer to anybody's request.
-    return closeNow(), sendLater(randomPause());
+    // A response on an idle connection (408) does not belong to a request.
+    return closeNow(), scheduleSend(randomPause());
   }
   Request& request = *connection->waiting.front();
   connection->waiting.pop_front();
   request.status = static_cast<int>(answer.result_int());
-  request.is_servers_own = answer.count(wire::kSignature) > 0;
-  request.fault = faultOf(request, answer);
+  request.is_from_server = answer.count(wire::kSignature) > 0;
+  request.answer_error = answerErrorOf(request, answer);
   const bool stays = connection->parser->keep_alive() && settings_.style != ClientStyle::kFresh;
   end(request, RequestEnd::kAnswered);
   if (!stays) {
@@ -267,7 +268,7 @@
   } else {
     readNext(connection);
   }
-  sendLater(randomPause());
+  scheduleSend(randomPause());
 }
 
 void Client::Implementation::onLost(const ConnectionPointer& connection) {
@@ -275,7 +276,7 @@
     end(*request, RequestEnd::kCut);
   }
   closeNow();
-  sendLater(kReconnectPause);
+  scheduleSend(kReconnectPause);
 }
 
 void Client::Implementation::end(Request& request, RequestEnd how) {
@@ -288,11 +289,11 @@
   Request* const request = ledger_.find(id);
   if (request == nullptr || request->end != RequestEnd::kOpen || !connection_) return;
   for (Request* const waiting : std::exchange(connection_->waiting, {})) {
-    waiting->left_early = is_on_purpose || waiting != request;
+    waiting->abandoned_early = is_on_purpose || waiting != request;
     end(*waiting, RequestEnd::kGivenUp);
   }
   closeNow();
-  sendLater(randomPause());
+  scheduleSend(randomPause());
 }
 
 void Client::Implementation::closeNow() {
--- a/tests/platform/soak/client.h
+++ b/tests/platform/soak/client.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One client of a node: uses a connection until the node or the process ends it, and writes what
-/// it saw of each request into the ledger.
+/// A client of one node. It uses a connection until the node closes it or its process ends, and
+/// records the outcome of each request in the ledger.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -19,12 +19,12 @@
 using RandomEngine = std::mt19937_64;
 
 enum class ClientStyle {
-  kSerial,     ///< One request at a time over a kept connection.
-  kPipelined,  ///< Some repeatable requests at once over a kept connection.
+  kSerial,     ///< One request at a time over a persistent connection.
+  kPipelined,  ///< Pipelined repeatable requests over a persistent connection.
   kFresh,      ///< A new connection for each request.
 };
 
-/// What a client is to send next.
+/// The next request of a client.
 struct RequestPlan {
   std::size_t route = 0;
   std::string path_prefix;
@@ -33,25 +33,26 @@
   std::size_t answer_bytes = 0;
   std::size_t body_bytes = 0;
   Duration deadline{};
-  Spoil spoil = Spoil::kNone;
+  AnswerFault injected_fault = AnswerFault::kNone;
   std::uint64_t crasher = 0;  ///< See Request::crasher.
 };
 
 struct ClientSettings {
-  std::string name;     ///< Begins the ids of its requests.
-  std::string machine;  ///< Whose node it uses.
+  std::string name;     ///< Prefix of its request ids.
+  std::string machine;  ///< Machine whose node it sends to.
   Address node;
   ClientStyle style = ClientStyle::kSerial;
-  Duration pause{};           ///< Mean, between an answer and the next request.
-  double leaving_part = 0.0;  ///< Of its requests, those that it leaves early.
+  Duration pause{};               ///< Mean time between a response and the next request.
+  double abandon_fraction = 0.0;  ///< Fraction of its requests that it abandons early.
   std::uint64_t seed = 0;
 };
 
-/// What a client asks of the soak.
+/// Callbacks from a client to the soak.
 struct ClientHooks {
-  std::function<std::optional<RequestPlan>(RandomEngine&)> plan;  ///< Nothing: not now.
-  std::function<std::uint32_t()> node_life;                       ///< Of its node, just now.
-  std::function<void(Request&)> on_end;                           ///< Once for each request.
+  /// Returns the next request, or nothing if there is none to send now.
+  std::function<std::optional<RequestPlan>(RandomEngine&)> plan;
+  std::function<std::uint32_t()> node_incarnation;  ///< Incarnation of its node at present.
+  std::function<void(Request&)> on_end;             ///< Called once for each request.
 };
 
 class Client {
@@ -59,13 +60,13 @@
   /// All references must outlive the client.
   Client(boost::asio::io_context& context, Environment& environment, Ledger& ledger,
          ClientSettings settings, ClientHooks hooks);
-  /// Leaves; requests without an answer stay open.
+  /// Closes the connection. Requests without a response stay in state kOpen.
   ~Client();
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
   void start();
-  /// Sends no more; what is under way is still waited for.
+  /// Stops sending requests. Still waits for the responses to pending ones.
   void finish();
 
  private:
--- a/tests/platform/soak/judge.h
+++ b/tests/platform/soak/judge.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// Holds what was seen against what is promised. Sees clients, back ends and the store only.
+/// Checks the observed behavior against the promises of the system. It only uses what clients, back
+/// ends and the store observe, never the state of a node.
 
 #include <deque>
 #include <functional>
@@ -16,117 +17,120 @@
 
 namespace coursepond::soak {
 
-/// The places of troubles that are no machine's.
-inline constexpr char kStorePlace[] = "store";
-inline constexpr char kSoakPlace[] = "soak";
+/// Components in the fault log that do not belong to a machine.
+inline constexpr char kStoreComponent[] = "store";
+inline constexpr char kSoakComponent[] = "soak";
 
 struct Violation {
   std::string kind;
-  std::string story;
+  std::string description;
 };
 
-/// What was counted besides, for the report.
-struct JudgeCounts {
+/// Counts for the report.
+struct CheckCounts {
   std::uint64_t requests = 0;
-  std::uint64_t in_touch = 0;  ///< Sent to machines in touch.
+  std::uint64_t in_touch = 0;  ///< Requests sent to machines in touch.
   std::uint64_t in_touch_served = 0;
   std::uint64_t refused = 0;
-  std::uint64_t unknown = 0;  ///< 502 and 504.
+  std::uint64_t unknown = 0;  ///< Requests with status 502 or 504.
   std::uint64_t cut = 0;
   std::uint64_t not_found = 0;
-  std::uint64_t on_new_routes = 0;    ///< Judged by a version's bound, in touch.
-  std::uint64_t by_stop = 0;          ///< Under way while their node was stopping.
-  std::uint64_t crashes = 0;          ///< Servers that ended under crashing requests.
-  std::uint64_t crashers_judged = 0;  ///< Those of them that crashed three or more.
-  std::uint64_t stops_judged = 0;     ///< Under way in a stop that no other trouble excuses.
+  std::uint64_t on_new_routes = 0;    ///< Checked against the bound of a new version, in touch.
+  std::uint64_t by_stop = 0;          ///< Requests in flight while their node was stopping.
+  std::uint64_t crashes = 0;          ///< Servers that crashed from crashing requests.
+  std::uint64_t crashers_judged = 0;  ///< Crashing requests that crashed three or more servers.
+  std::uint64_t stops_judged = 0;  ///< Requests in flight during a stop and without another fault.
 };
 
-class Judge {
+class PromiseChecker {
  public:
   using Machines = std::vector<std::unique_ptr<Machine>>;
 
-  Judge(const Bounds& bounds, const Ledger& ledger, const VersionBook& versions,
-        const TroubleBook& troubles, const Machines& machines, TimePoint origin)
+  PromiseChecker(const Bounds& bounds, const Ledger& ledger, const VersionHistory& versions,
+                 const FaultLog& faults, const Machines& machines, TimePoint origin)
       : bounds_(bounds),
         ledger_(ledger),
         versions_(versions),
-        troubles_(troubles),
+        faults_(faults),
         machines_(machines),
         origin_(origin) {}
 
-  /// Told of each violation as it is found.
+  /// Sets the callback for each violation that is found.
   void onViolation(std::function<void(const Violation&)> callback) {
     on_violation_ = std::move(callback);
   }
-  void report(const std::string& kind, const std::string& story);
+  void report(const std::string& kind, const std::string& description);
 
-  /// Whether all that is promised of the machine holds at `when`.
+  /// Returns true if the machine, the store and the soak had no fault for `contact` before `when`,
+  /// so that all promises apply to the machine.
   bool isInTouch(const std::string& machine, TimePoint when) const;
 
-  /// A request was read by a server. `machine` is null when nobody sent a request of that id.
+  /// Called when a server has read a request. `request` is null if no client sent this id.
   void onArrival(const Machine& machine, const std::string& instance, const std::string& id,
                  const Request* request, TimePoint now);
-  /// A request of that number crashed a server.
-  void onCrash(std::uint64_t crasher, TimePoint now) { crashers_[crasher].ends.push_back(now); }
-  /// A request has ended: it is judged once what belongs to it has been seen.
+  /// Called when the crashing request with this number crashed a server.
+  void onCrash(std::uint64_t crasher, TimePoint now) { crashers_[crasher].crashes.push_back(now); }
+  /// Called when a request has ended. It is checked later, when its back end has recorded the end.
   void onEnd(const Request& request) { ended_.push_back(&request); }
-  /// Judges what ended long enough ago.
-  void judgeEnded(TimePoint now);
-  /// At the soak's end: what can be told of all requests only now.
-  void judgeAll();
+  /// Checks the requests that ended long enough ago.
+  void checkEnded(TimePoint now);
+  /// Runs the checks that need all requests. Called at the end of the soak.
+  void checkAll();
 
   const std::vector<Violation>& violations() const { return violations_; }
-  const JudgeCounts& counts() const { return counts_; }
+  const CheckCounts& counts() const { return counts_; }
 
  private:
-  /// What a life of a process was seen to hold.
+  /// A version whose effect was seen on a node process.
   struct SeenVersion {
     TimePoint when;
     std::size_t version = 0;
   };
   /// A request that crashes servers.
   struct Crasher {
-    std::vector<TimePoint> ends;  ///< Of servers.
+    std::vector<TimePoint> crashes;  ///< Times of the server crashes.
     std::size_t late_arrivals = 0;
   };
-  using Life = std::pair<std::string, std::uint32_t>;
+  /// Machine name and incarnation.
+  using NodeProcess = std::pair<std::string, std::uint32_t>;
 
-  void judgeCrasher(const Request& request, const std::string& instance, TimePoint now);
-  void judge(const Request& request);
+  void checkCrasher(const Request& request, const std::string& instance, TimePoint now);
+  void check(const Request& request);
   void count(const Request& request);
-  void judgeVersion(const Request& request);
-  void judgeStop(const Request& request);
-  void judgeFailure(const Request& request);
-  void judgeHeld(const Request& request);
-  void judgeUnserved(const Request& request);
+  void checkVersion(const Request& request);
+  void checkStop(const Request& request);
+  void checkFailure(const Request& request);
+  void checkHeld(const Request& request);
+  void checkUnserved(const Request& request);
 
-  /// The versions that may have been in force on the node as it handled the request.
-  VersionSpan possible(const Request& request, bool with_seen) const;
-  void noteSeen(const Request& request, std::size_t version);
-  std::size_t seenBefore(const Request& request) const;
+  /// Returns the versions that may have been in force on the node when it handled the request.
+  VersionSpan possibleVersions(const Request& request, bool with_seen) const;
+  void recordSeenVersion(const Request& request, std::size_t version);
+  std::size_t newestSeenBefore(const Request& request) const;
 
   const Machine& machineOf(const std::string& name) const;
-  bool isQuietFor(const std::string& machine, TimePoint from, TimePoint to) const;
-  bool isEverythingQuiet(TimePoint from, TimePoint to) const;
-  bool areServersQuiet(const Request& request) const;
+  bool isUndisturbed(const std::string& machine, TimePoint from, TimePoint to) const;
+  bool isEverythingFaultFree(TimePoint from, TimePoint to) const;
+  bool areServersFaultFree(const Request& request) const;
   bool hasServerInTouch(const std::string& service, TimePoint from, TimePoint to) const;
-  /// Since the soak's start, as in its event log.
-  std::string clock(TimePoint when) const;
-  std::string story(const Request& request, const std::string& what) const;
+  /// Formats the time since the start of the soak, as in its event log.
+  std::string formatTime(TimePoint when) const;
+  std::string describeRequest(const Request& request, const std::string& what) const;
 
   Bounds bounds_;
   const Ledger& ledger_;
-  const VersionBook& versions_;
-  const TroubleBook& troubles_;
+  const VersionHistory& versions_;
+  const FaultLog& faults_;
   const Machines& machines_;
   TimePoint origin_;
   std::function<void(const Violation&)> on_violation_;
   std::deque<const Request*> ended_;
-  std::map<Life, std::vector<SeenVersion>> seen_;
-  std::map<std::string, std::vector<const Request*>> unserved_;  ///< By machine, in a row.
+  std::map<NodeProcess, std::vector<SeenVersion>> seen_;
+  /// Consecutive unserved requests by machine.
+  std::map<std::string, std::vector<const Request*>> unserved_;
   std::map<std::uint64_t, Crasher> crashers_;
   std::vector<Violation> violations_;
-  JudgeCounts counts_;
+  CheckCounts counts_;
 };
 
 }  // namespace coursepond::soak
--- a/tests/platform/soak/ledger.h
+++ b/tests/platform/soak/ledger.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What clients and back ends saw of each request.
+/// Records what clients and back ends observed of each request.
 
 #include <cstdint>
 #include <string>
@@ -11,43 +11,44 @@
 
 namespace coursepond::soak {
 
-/// How a request ended for its client.
+/// How a request ended from the point of view of its client.
 enum class RequestEnd {
-  kOpen,      ///< Not yet, or the soak ended first.
-  kAnswered,  ///< A whole answer.
-  kCut,       ///< The connection ended without a whole answer.
-  kUnread,    ///< Sent behind an answer that closed the connection: counts as not read.
-  kGivenUp,   ///< The client left: far beyond the deadline, or on purpose.
+  kOpen,      ///< Pending, or still pending when the soak ended.
+  kAnswered,  ///< A complete response arrived.
+  kCut,       ///< The connection was closed before a complete response arrived.
+  kUnread,    ///< Pipelined behind a response that closed the connection; counts as not read.
+  kGivenUp,   ///< The client gave up, either long after the deadline or on purpose.
 };
 
-/// How the server spoils the answer of a request's first run.
-enum class Spoil {
+/// Fault that the server injects into the response of a request's first execution.
+enum class AnswerFault {
   kNone,
-  kCut,      ///< The connection ends without an answer.
-  kHalf,     ///< It ends within the body.
-  kFailure,  ///< The server's own 500.
+  kCut,      ///< The connection is closed without a response.
+  kHalf,     ///< The connection is closed within the body.
+  kFailure,  ///< The server responds with 500.
 };
 
-/// One start of work at a back end.
+/// One execution of a request by a back end.
 struct Run {
   std::string instance;
   std::string machine;
   TimePoint started;
-  TimePoint ended;       ///< The clock's zero while it runs.
-  bool was_cut = false;  ///< The back end crashed, or the connection to it ended.
+  TimePoint ended;       ///< TimePoint() while the request is being executed.
+  bool was_cut = false;  ///< The back end crashed or the connection to it was closed.
 };
 
 struct Request {
   std::string id;
-  std::string machine;  ///< Whose node it was sent to.
+  std::string machine;  ///< Machine whose node it was sent to.
   std::size_t route = 0;
   std::string target;
-  std::uint32_t node_life = 0;  ///< Of the process that it was sent to, from 1.
+  std::uint32_t node_incarnation = 0;  ///< Incarnation of the node process, from 1.
   bool is_repeatable = true;
-  bool was_behind = false;  ///< Sent while others on its connection had no answer yet.
-  Spoil spoil = Spoil::kNone;
-  std::uint64_t crasher = 0;  ///< The number of a request that crashes servers; zero: it does not.
-  bool left_early = false;    ///< The client left on purpose.
+  bool was_pipelined = false;  ///< Sent while other requests were pending on its connection.
+  AnswerFault injected_fault = AnswerFault::kNone;
+  std::uint64_t crasher = 0;  ///< Number of the crashing request; 0 if it does not crash servers.
+  bool abandoned_early = false;  ///< The client gave it up before its timeout, on purpose or with
+                                 ///< another request of its connection.
   std::size_t answer_bytes = 0;
   std::size_t body_bytes = 0;
   TimePoint sent;
@@ -55,16 +56,16 @@
   Duration deadline{};
   RequestEnd end = RequestEnd::kOpen;
   int status = 0;
-  bool is_servers_own = false;  ///< The answer has a server's signature.
-  std::string fault;            ///< What is wrong with the answer itself, found as it came.
+  bool is_from_server = false;  ///< The response has the signature of a server.
+  std::string answer_error;     ///< What is wrong with the response itself; empty if correct.
   std::vector<Run> runs;
 };
 
 class Ledger {
  public:
-  /// The pointer stays good for the life of the ledger.
+  /// Adds a request. The pointer is valid for the lifetime of the ledger.
   Request* open(Request request);
-  /// Nothing when no client sent that id.
+  /// Returns nullptr if no client sent this id.
   Request* find(const std::string& id);
 
   const std::unordered_map<std::string, Request>& all() const { return requests_; }
--- a/tests/platform/soak/link.cpp
+++ b/tests/platform/soak/link.cpp
@@ -17,7 +17,8 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 16 * 1024;
-/// What one connection may have under way in a direction: the window of a small machine.
+/// Maximum bytes in flight per connection and direction. Corresponds to the TCP window of a small
+/// machine.
 constexpr std::size_t kWindowBytes = 64 * 1024;
 
 TimePoint clockNow() { return BootClock::now(); }
@@ -26,7 +27,7 @@
   return {asio::ip::make_address(address.host), address.port};
 }
 
-/// Closes without an orderly end, so that the peer sees a reset. Errors mean that it is closed.
+/// Closes the socket so that the peer sees a reset. An error means that it is already closed.
 void closeWithReset(Tcp::socket& socket) {
   error_code ignored;
   socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -37,7 +38,7 @@
 
 // ---- One direction of a connection
 
-/// Reads from one socket and writes to the other when the lane lets the bytes pass.
+/// Copies bytes from one socket to the other with the delay, rate and silence of its direction.
 class Link::Pump : public std::enable_shared_from_this<Link::Pump> {
  public:
   Pump(Link& link, std::shared_ptr<Session> session, Direction direction, Tcp::socket& from,
@@ -64,7 +65,7 @@
   void onRead(const error_code& status, std::size_t bytes);
   void writeNext();
   void onWritten(const error_code& status);
-  void pass(End end);
+  void forwardEnd(End end);
 
   Link& link_;
   std::shared_ptr<Session> session_;
@@ -83,7 +84,7 @@
 class Link::Session : public std::enable_shared_from_this<Link::Session> {
  public:
   Session(Link& link, Tcp::socket opener, Opener who)
-      : link_(link), opener_(std::move(opener)), target_(link.context_), who_(who) {}
+      : link_(link), opener_(std::move(opener)), target_(link.context_), opened_by_(who) {}
 
   void start(const Address& target) {
     target_.async_connect(endpointOf(target),
@@ -93,7 +94,7 @@
                           });
   }
 
-  /// Told by each pump whose side has ended in order.
+  /// Called by each pump whose source has closed its connection in an orderly way.
   void onPumpDone() {
     if (++pumps_done_ < 2) return;
     error_code ignored;
@@ -111,7 +112,7 @@
   }
 
   void wake() {
-    // A pump may end the session from inside.
+    // Keeps both pumps alive because one of them may end the session while it runs.
     const std::shared_ptr<Pump> forward = forward_;
     const std::shared_ptr<Pump> backward = backward_;
     if (forward) forward->wake();
@@ -123,7 +124,7 @@
     error_code ignored;
     opener_.set_option(Tcp::no_delay(true), ignored);
     target_.set_option(Tcp::no_delay(true), ignored);
-    const bool from_machine = who_ == Opener::kMachine;
+    const bool from_machine = opened_by_ == Opener::kMachine;
     const Direction ahead = from_machine ? Direction::kOut : Direction::kIn;
     const Direction back = from_machine ? Direction::kIn : Direction::kOut;
     forward_ = std::make_shared<Pump>(link_, shared_from_this(), ahead, opener_, target_);
@@ -135,7 +136,7 @@
   Link& link_;
   Tcp::socket opener_;
   Tcp::socket target_;
-  Opener who_;
+  Opener opened_by_;
   int pumps_done_ = 0;
   std::shared_ptr<Pump> forward_;
   std::shared_ptr<Pump> backward_;
@@ -153,7 +154,7 @@
 void Link::Pump::onRead(const error_code& status, std::size_t bytes) {
   is_reading_ = false;
   Chunk chunk;
-  chunk.due = link_.passBy(direction_, bytes, clockNow());
+  chunk.due = link_.scheduleTransfer(direction_, bytes, clockNow());
   if (status) {
     has_ended_ = true;
     chunk.end = status == asio::error::eof ? End::kOrderly : End::kReset;
@@ -167,7 +168,7 @@
 }
 
 void Link::Pump::writeNext() {
-  if (is_writing_ || queue_.empty() || link_.lane(direction_).is_silent) return;
+  if (is_writing_ || queue_.empty() || link_.state(direction_).is_silent) return;
   if (const TimePoint now = clockNow(); queue_.front().due > now) {
     timer_.expires_after(queue_.front().due - now);
     timer_.async_wait([self = shared_from_this()](const error_code& status) {
@@ -175,7 +176,7 @@
     });
     return;
   }
-  if (queue_.front().end != End::kNone) return pass(queue_.front().end);
+  if (queue_.front().end != End::kNone) return forwardEnd(queue_.front().end);
   is_writing_ = true;
   asio::async_write(to_, asio::buffer(queue_.front().bytes),
                     [self = shared_from_this()](const error_code& status, std::size_t) {
@@ -192,7 +193,7 @@
   writeNext();
 }
 
-void Link::Pump::pass(End end) {
+void Link::Pump::forwardEnd(End end) {
   queue_.clear();
   if (end == End::kReset) return session_->reset();
   error_code ignored;
@@ -200,7 +201,7 @@
   session_->onPumpDone();
 }
 
-// ---- Connections that come
+// ---- Incoming connections
 
 class Link::Forwarder : public std::enable_shared_from_this<Link::Forwarder> {
  public:
@@ -231,7 +232,7 @@
  private:
   void accept() {
     acceptor_.async_accept([self = shared_from_this()](const error_code& status, Tcp::socket peer) {
-      if (status) return;  // Closed: nobody listens any more.
+      if (status) return;  // The acceptor was closed.
       self->take(std::move(peer));
       self->accept();
     });
@@ -269,15 +270,15 @@
 }
 
 void Link::setDelay(Duration one_way) {
-  for (Lane& lane : lanes_) lane.delay = one_way;
+  for (DirectionState& state : directions_) state.delay = one_way;
 }
 
 void Link::setRate(std::uint64_t bytes_per_second) {
-  for (Lane& lane : lanes_) lane.rate = bytes_per_second;
+  for (DirectionState& state : directions_) state.rate = bytes_per_second;
 }
 
 void Link::setSilent(Direction direction, bool is_silent) {
-  lane(direction).is_silent = is_silent;
+  state(direction).is_silent = is_silent;
   if (is_silent) return;
   for (const auto& known : std::vector(sessions_)) {
     if (const auto session = known.lock()) session->wake();
@@ -290,14 +291,15 @@
   }
 }
 
-/// When `bytes` that are read now have come out at the other side.
-TimePoint Link::passBy(Direction direction, std::size_t bytes, TimePoint now) {
-  Lane& lane = this->lane(direction);
-  if (lane.rate == 0) return now + lane.delay;
-  const double seconds = static_cast<double>(bytes) / static_cast<double>(lane.rate);
+/// Returns when `bytes` that are read now arrive at the other side, and reserves the bandwidth for
+/// them.
+TimePoint Link::scheduleTransfer(Direction direction, std::size_t bytes, TimePoint now) {
+  DirectionState& state = this->state(direction);
+  if (state.rate == 0) return now + state.delay;
+  const double seconds = static_cast<double>(bytes) / static_cast<double>(state.rate);
   const auto time = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
-  lane.free_at = std::max(lane.free_at, now) + time;
-  return lane.free_at + lane.delay;
+  state.busy_until = std::max(state.busy_until, now) + time;
+  return state.busy_until + state.delay;
 }
 
 }  // namespace coursepond::soak
--- a/tests/platform/soak/link.h
+++ b/tests/platform/soak/link.h
@@ -1,7 +1,8 @@
 #pragma once
 
-/// The link of one machine: forwards TCP connections between the machine and the rest, with the
-/// troubles a link can have. All connections of a machine share its bandwidth.
+/// The network link of one machine. It forwards TCP connections between the machine and all others
+/// and can inject delay, a bandwidth limit, silence and resets. All connections of a machine share
+/// its bandwidth.
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -15,32 +16,33 @@
 
 namespace coursepond::soak {
 
-/// As seen from the machine.
+/// Direction of traffic as seen from the machine.
 enum class Direction { kIn, kOut };
 
-/// Who opens the connections that a forwarder takes.
+/// Side that opens the connections which a forwarder accepts.
 enum class Opener { kMachine, kOthers };
 
 class Link {
  public:
-  /// `context` must outlive the link and run on one thread.
+  /// `context` must outlive the link and run on a single thread.
   explicit Link(boost::asio::io_context& context) : context_(context) {}
   ~Link();
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  /// Forwards connections to `listen` on to `target`. Throws boost::system::system_error when the
+  /// Forwards connections from `listen` to `target`. Throws boost::system::system_error if the
   /// address cannot be bound.
   void forward(const Address& listen, const Address& target, Opener opener);
-  /// While closed, connections that others open are refused, as by a machine without a process.
+  /// While the link is closed, connections from other machines are refused, as by a machine on
+  /// which no process listens.
   void setOpen(bool is_open);
 
   void setDelay(Duration one_way);
-  /// Bytes a second in each direction; zero: no limit.
+  /// Sets the bandwidth in bytes per second for each direction; 0 means unlimited.
   void setRate(std::uint64_t bytes_per_second);
-  /// What is sent that way is held until the silence ends.
+  /// While a direction is silent, data in that direction is buffered and not delivered.
   void setSilent(Direction direction, bool is_silent);
-  /// Resets every connection.
+  /// Resets all connections.
   void reset();
 
  private:
@@ -48,19 +50,21 @@
   class Session;
   class Pump;
 
-  /// What the pumps of one direction share.
-  struct Lane {
+  /// State shared by all pumps of one direction.
+  struct DirectionState {
     Duration delay{};
     std::uint64_t rate = 0;
     bool is_silent = false;
-    TimePoint free_at;  ///< When the bytes that were taken so far have passed.
+    TimePoint busy_until;  ///< Time at which all bytes read so far have been transmitted.
   };
 
-  Lane& lane(Direction direction) { return lanes_[static_cast<std::size_t>(direction)]; }
-  TimePoint passBy(Direction direction, std::size_t bytes, TimePoint now);
+  DirectionState& state(Direction direction) {
+    return directions_[static_cast<std::size_t>(direction)];
+  }
+  TimePoint scheduleTransfer(Direction direction, std::size_t bytes, TimePoint now);
 
   boost::asio::io_context& context_;
-  std::array<Lane, 2> lanes_;
+  std::array<DirectionState, 2> directions_;
   std::vector<std::shared_ptr<Forwarder>> forwarders_;
   std::vector<std::weak_ptr<Session>> sessions_;
 };
--- a/tests/platform/soak/machine.cpp
+++ b/tests/platform/soak/machine.cpp
@@ -22,16 +22,16 @@
 constexpr std::uint16_t kAdminPort = 8302;
 constexpr std::uint16_t kStorePort = 8309;
 constexpr std::uint16_t kPeerPort = 7620;
-/// A server that a request crashed is back after this.
-constexpr Duration kCrashAway = std::chrono::milliseconds(2500);
-/// A log limit that changes with each change of the settings.
+/// Time until a server restarts after a crashing request.
+constexpr Duration kCrashDowntime = std::chrono::milliseconds(2500);
+/// Lowest value of the log rate limit. It changes with each write of the settings file.
 constexpr std::uint32_t kLogLines = 2000;
 
-/// Where the node itself listens; nobody but the soak's forwarders and clients connects here.
+/// Address on which the node listens. Only the forwarders and clients of the soak connect to it.
 std::string ownHost(const MachineSettings& machine) {
   return "127." + std::to_string(machine.network) + ".1." + std::to_string(machine.number + 1);
 }
-/// The machine as the others know it: connections to it go over its link.
+/// Address under which other machines reach this machine. Connections to it go through its link.
 std::string linkHost(const MachineSettings& machine) {
   return "127." + std::to_string(machine.network) + ".2." + std::to_string(machine.number + 1);
 }
@@ -52,12 +52,12 @@
   return !error;
 }
 
-Machine::Machine(Surroundings surroundings, MachineSettings settings)
-    : at_(std::move(surroundings)), settings_(std::move(settings)), link_(at_.context) {
+Machine::Machine(SoakContext soak, MachineSettings settings)
+    : soak_(std::move(soak)), settings_(std::move(settings)), link_(soak_.context) {
   const std::string own = ownHost(settings_);
   const std::string link = linkHost(settings_);
   link_.setRate(settings_.link_rate);
-  link_.forward({own, kStorePort}, at_.store.address(), Opener::kMachine);
+  link_.forward({own, kStorePort}, soak_.store.address(), Opener::kMachine);
   link_.forward({link, kIngressPort}, {own, kIngressPort}, Opener::kOthers);
   link_.forward({link, kPeerPort}, {own, kPeerPort}, Opener::kOthers);
   link_.setOpen(false);
@@ -65,11 +65,11 @@
 
 Machine::~Machine() = default;
 
-Address Machine::callers() const { return {ownHost(settings_), kCallerPort}; }
+Address Machine::callerAddress() const { return {ownHost(settings_), kCallerPort}; }
 
-void Machine::log(const std::string& what) const { at_.log(settings_.name + " " + what); }
+void Machine::log(const std::string& what) const { soak_.log(settings_.name + " " + what); }
 
-/// As deploy/node.toml.template, filled for this machine.
+/// Writes the settings file: deploy/node.toml.template with the values of this machine.
 void Machine::writeSettings() {
   const std::string own = ownHost(settings_);
   const std::string link = linkHost(settings_);
@@ -93,7 +93,7 @@
        << "[log]\nlines_per_second = " << kLogLines + settings_written_ << "\n\n"
        << "[mesh]\nacceptance = \"automatic\"\n";
   ++settings_written_;
-  if (!file.flush()) throw std::runtime_error("the settings of " + settings_.name + " not written");
+  if (!file.flush()) throw std::runtime_error("cannot write the settings of " + settings_.name);
 }
 
 // ---- The process
@@ -110,64 +110,64 @@
   process_ = std::make_unique<ProcessHandle>(
       "coursepond-platform", std::vector<std::string>{"node", "--config", path + ".toml", flag},
       path + ".log");
-  ++life_;
-  freezes_ = 0;
+  ++incarnation_;
+  active_pauses_ = 0;
   is_expected_to_end_ = false;
   terminated_at_.reset();
   link_.setOpen(true);
-  if (away_trouble_) at_.troubles.end(*std::exchange(away_trouble_, std::nullopt), now());
-  at_.troubles.end(at_.troubles.begin(name(), TroubleKind::kPlannedStop, now()), now());
-  log("process starts, life " + std::to_string(life_));
+  if (downtime_fault_) soak_.faults.end(*std::exchange(downtime_fault_, std::nullopt), now());
+  soak_.faults.end(soak_.faults.begin(name(), FaultKind::kPlannedStop, now()), now());
+  log("process started, incarnation " + std::to_string(incarnation_));
 }
 
-void Machine::terminateNode(Duration away) {
+void Machine::terminateNode(Duration downtime) {
   if (!process_ || is_expected_to_end_) return;
   is_expected_to_end_ = true;
-  away_ = away;
+  downtime_ = downtime;
   terminated_at_ = now();
-  away_trouble_ = at_.troubles.begin(name(), TroubleKind::kPlannedStop, now());
+  downtime_fault_ = soak_.faults.begin(name(), FaultKind::kPlannedStop, now());
   process_->signal(SIGTERM);
   log("SIGTERM");
-  at_.environment.schedule(settings_.bounds.grace, [this, life = life_] {
-    if (!process_ || life_ != life) return;
-    const std::string story =
-        name() + " still ran " + milliseconds(settings_.bounds.grace) + " after SIGTERM";
-    if (at_.troubles.isCalmButForStops(name(), *terminated_at_, now())) {
-      at_.on_violation("stop_overran", story);
+  soak_.environment.schedule(settings_.bounds.grace, [this, incarnation = incarnation_] {
+    if (!process_ || incarnation_ != incarnation) return;
+    const std::string description =
+        name() + " was still running " + milliseconds(settings_.bounds.grace) + " after SIGTERM";
+    if (soak_.faults.isFaultFreeExceptStops(name(), *terminated_at_, now())) {
+      soak_.on_violation("stop_overran", description);
     }
-    log("SIGKILL after the grace");
+    log("SIGKILL after the grace period");
     process_->signal(SIGKILL);
   });
 }
 
-void Machine::killNode(Duration away) {
+void Machine::killNode(Duration downtime) {
   if (!process_) return;
   const bool is_stopping = std::exchange(is_expected_to_end_, true);
-  if (!is_stopping) away_ = away;
-  // From here on a stop that was planned is none any more.
-  const std::size_t trouble = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
-  if (away_trouble_) at_.troubles.end(*away_trouble_, now());
-  away_trouble_ = trouble;
+  if (!is_stopping) downtime_ = downtime;
+  // A planned stop becomes an unplanned fault from here on.
+  const std::size_t fault = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
+  if (downtime_fault_) soak_.faults.end(*downtime_fault_, now());
+  downtime_fault_ = fault;
   process_->signal(SIGKILL);
   log("SIGKILL");
 }
 
-void Machine::freezeNode(Duration length) { standStill(length, false); }
+void Machine::freezeNode(Duration length) { pauseProcess(length, false); }
 
-void Machine::suspendNode(Duration length) { standStill(length, true); }
+void Machine::suspendNode(Duration length) { pauseProcess(length, true); }
 
-void Machine::standStill(Duration length, bool is_suspension) {
+void Machine::pauseProcess(Duration length, bool is_suspension) {
   if (!process_) return;
-  const std::size_t trouble = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
-  ++freezes_;
+  const std::size_t fault = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
+  ++active_pauses_;
   process_->signal(SIGSTOP);
   log((is_suspension ? "suspended for " : "SIGSTOP for ") + milliseconds(length));
-  endTroubleLater(trouble, length, [this, life = life_, length, is_suspension] {
-    if (!process_ || life_ != life) return;
-    // Before it goes on, so that it sees no moment of the other time.
+  scheduleFaultEnd(fault, length, [this, incarnation = incarnation_, length, is_suspension] {
+    if (!process_ || incarnation_ != incarnation) return;
+    // Sent before SIGCONT, so that the process never reads a clock that includes the suspension.
     const auto lost_ms = static_cast<int>(toMilliseconds(length));
     if (is_suspension) process_->signal(clockSignal(), lost_ms);
-    if (--freezes_ > 0) return;
+    if (--active_pauses_ > 0) return;
     process_->signal(SIGCONT);
     log("SIGCONT");
   });
@@ -191,55 +191,57 @@
   link_.setOpen(false);
   log("process ended with " + std::to_string(status));
   if (!is_expected_to_end_) {
-    at_.on_violation("ended_by_itself", name() + " ended by itself with " + std::to_string(status));
-    away_trouble_ = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
-    away_ = std::chrono::seconds(1);
+    soak_.on_violation("ended_by_itself",
+                       name() + " ended by itself with " + std::to_string(status));
+    downtime_fault_ = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
+    downtime_ = std::chrono::seconds(1);
   }
-  at_.environment.schedule(away_, [this] { startNode(); });
+  soak_.environment.schedule(downtime_, [this] { startNode(); });
 }
 
 // ---- The link
 
-void Machine::endTroubleLater(std::size_t trouble, Duration length, std::function<void()> undo) {
-  at_.environment.schedule(length, [this, trouble, undo = std::move(undo)] {
+void Machine::scheduleFaultEnd(std::size_t fault, Duration length, std::function<void()> undo) {
+  soak_.environment.schedule(length, [this, fault, undo = std::move(undo)] {
     undo();
-    at_.troubles.end(trouble, now());
+    soak_.faults.end(fault, now());
   });
 }
 
 void Machine::delayLink(Duration one_way, Duration length) {
-  const std::size_t trouble = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
+  const std::size_t fault = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
   link_.setDelay(one_way);
   log("link delayed by " + milliseconds(one_way) + " for " + milliseconds(length));
-  endTroubleLater(trouble, length, [this] {
+  scheduleFaultEnd(fault, length, [this] {
     link_.setDelay(Duration(0));
-    log("link without delay");
+    log("link delay removed");
   });
 }
 
 void Machine::narrowLink(std::uint64_t bytes_per_second, Duration length) {
-  const std::size_t trouble = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
+  const std::size_t fault = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
   link_.setRate(bytes_per_second);
-  log("link narrowed to " + std::to_string(bytes_per_second) + " B/s for " + milliseconds(length));
-  endTroubleLater(trouble, length, [this] {
+  log("link bandwidth limited to " + std::to_string(bytes_per_second) + " B/s for " +
+      milliseconds(length));
+  scheduleFaultEnd(fault, length, [this] {
     link_.setRate(settings_.link_rate);
-    log("link as wide as usual");
+    log("link bandwidth restored");
   });
 }
 
 void Machine::silenceLink(Direction direction, Duration length) {
-  const std::size_t trouble = at_.troubles.begin(name(), TroubleKind::kUnplanned, now());
-  const std::string way = direction == Direction::kIn ? "inwards" : "outwards";
+  const std::size_t fault = soak_.faults.begin(name(), FaultKind::kUnplanned, now());
+  const std::string way = direction == Direction::kIn ? "inbound" : "outbound";
   link_.setSilent(direction, true);
   log("link silent " + way + " for " + milliseconds(length));
-  endTroubleLater(trouble, length, [this, direction, way] {
+  scheduleFaultEnd(fault, length, [this, direction, way] {
     link_.setSilent(direction, false);
     log("link no longer silent " + way);
   });
 }
 
 void Machine::resetLink() {
-  at_.troubles.end(at_.troubles.begin(name(), TroubleKind::kUnplanned, now()), now());
+  soak_.faults.end(soak_.faults.begin(name(), FaultKind::kUnplanned, now()), now());
   link_.reset();
   log("link reset");
 }
@@ -254,7 +256,7 @@
                         {"state", state},
                         {"version", "1"},
                         {"cold_remaining", "0ms"},
-                        {"sequence", beats_}}
+                        {"sequence", heartbeats_written_}}
       .dump();
 }
 
@@ -263,76 +265,76 @@
   is_server_leaving_ = false;
   const std::string instance = "i-" + settings_.name + "-" + std::to_string(++server_starts_);
   server_ = std::make_unique<BackEnd>(
-      at_.context, at_.environment, at_.ledger, name(), instance,
+      soak_.context, soak_.environment, soak_.ledger, name(), instance,
       Address{linkHost(settings_), kServerPort},
-      [this, instance](const std::string& id) { at_.on_arrival(name(), instance, id); },
+      [this, instance](const std::string& id) { soak_.on_arrival(name(), instance, id); },
       [this, instance](std::uint64_t crasher) { onServerCrashed(instance, crasher); });
   state_ = "ready";
-  at_.store.put(entryKey(instance), entryText(state_));
+  soak_.store.put(entryKey(instance), entryText(state_));
   log("server " + instance + " ready");
 }
 
-void Machine::drainServer(bool says_so, Duration length, Duration away) {
+void Machine::drainServer(bool is_announced, Duration length, Duration downtime) {
   if (!server_ || std::exchange(is_server_leaving_, true)) return;
   const std::string instance = server_->instance();
-  if (says_so) {
+  if (is_announced) {
     state_ = "draining";
-    at_.store.put(entryKey(instance), entryText(state_));
+    soak_.store.put(entryKey(instance), entryText(state_));
   } else {
     state_.clear();
-    at_.store.remove(entryKey(instance));
+    soak_.store.remove(entryKey(instance));
   }
   leaving_since_.try_emplace(instance, now());
-  log("server " + instance + (says_so ? " draining" : " gone without a word") + ", serves for " +
-      milliseconds(length));
-  at_.environment.schedule(length, [this, instance, away] {
-    if (server_ && server_->instance() == instance) endServer(instance, away);
+  log("server " + instance + (is_announced ? " draining" : " removed without draining") +
+      ", serves for another " + milliseconds(length));
+  soak_.environment.schedule(length, [this, instance, downtime] {
+    if (server_ && server_->instance() == instance) endServer(instance, downtime);
   });
 }
 
-void Machine::endServer(const std::string& instance, Duration away) {
-  const std::size_t trouble = at_.troubles.begin(serverPlace(), TroubleKind::kUnplanned, now());
+void Machine::endServer(const std::string& instance, Duration downtime) {
+  const std::size_t fault = soak_.faults.begin(serverComponent(), FaultKind::kUnplanned, now());
   server_.reset();
   state_.clear();
-  if (at_.store.holds(entryKey(instance))) at_.store.remove(entryKey(instance));
+  if (soak_.store.holds(entryKey(instance))) soak_.store.remove(entryKey(instance));
   log("server " + instance + " ended");
-  restartServerLater(away, trouble);
+  restartServerLater(downtime, fault);
 }
 
-/// From inside the server, which ends in a later event.
+/// Called from within the server, which is therefore destroyed in a later event.
 void Machine::onServerCrashed(const std::string& instance, std::uint64_t crasher) {
-  at_.environment.schedule(Duration(0), [this, instance, crasher] {
+  soak_.environment.schedule(Duration(0), [this, instance, crasher] {
     if (!server_ || server_->instance() != instance) return;
-    log("server " + instance + " ends under crashing request " + std::to_string(crasher));
-    at_.on_crash(crasher);
-    crashServer(kCrashAway);
+    log("server " + instance + " crashed by crashing request " + std::to_string(crasher));
+    soak_.on_crash(crasher);
+    crashServer(kCrashDowntime);
   });
 }
 
-void Machine::crashServer(Duration away) {
+void Machine::crashServer(Duration downtime) {
   if (!server_) return;
-  const std::size_t trouble = at_.troubles.begin(serverPlace(), TroubleKind::kUnplanned, now());
+  const std::size_t fault = soak_.faults.begin(serverComponent(), FaultKind::kUnplanned, now());
   const std::string instance = server_->instance();
   server_.reset();
   state_.clear();
   log("server " + instance + " crashed");
-  at_.environment.schedule(kEntryLife, [this, instance] {
-    if (at_.store.holds(entryKey(instance))) at_.store.remove(entryKey(instance));
+  soak_.environment.schedule(kEntryLifetime, [this, instance] {
+    if (soak_.store.holds(entryKey(instance))) soak_.store.remove(entryKey(instance));
   });
-  restartServerLater(away, trouble);
+  restartServerLater(downtime, fault);
 }
 
-void Machine::restartServerLater(Duration away, std::size_t trouble) {
-  endTroubleLater(trouble, away, [this] { startServer(); });
+void Machine::restartServerLater(Duration downtime, std::size_t fault) {
+  scheduleFaultEnd(fault, downtime, [this] { startServer(); });
 }
 
 void Machine::slowServer(double factor, Duration length) {
   if (!server_) return;
-  const std::size_t trouble = at_.troubles.begin(serverPlace(), TroubleKind::kUnplanned, now());
-  server_->setSlowness(factor);
-  log("server slow for " + milliseconds(length));
-  endTroubleLater(trouble, length, [this] {
-    if (server_) server_->setSlowness(1.0);
+  const std::size_t fault = soak_.faults.begin(serverComponent(), FaultKind::kUnplanned, now());
+  server_->setSlowdown(factor);
+  log("server slowed down for " + milliseconds(length));
+  scheduleFaultEnd(fault, length, [this] {
+    if (server_) server_->setSlowdown(1.0);
   });
 }
 
@@ -340,27 +342,27 @@
   if (!server_ || state_ != "ready") return;
   const std::string instance = server_->instance();
   state_.clear();
-  at_.store.remove(entryKey(instance));
+  soak_.store.remove(entryKey(instance));
   leaving_since_.try_emplace(instance, now());
   log("entry of " + instance + " lapsed for " + milliseconds(length));
-  at_.environment.schedule(length, [this, instance] {
+  soak_.environment.schedule(length, [this, instance] {
     const bool is_there = server_ && server_->instance() == instance && !is_server_leaving_;
     if (!is_there) return;
     state_ = "ready";
     leaving_since_.erase(instance);
-    at_.store.put(entryKey(instance), entryText(state_));
-    log("entry of " + instance + " back");
+    soak_.store.put(entryKey(instance), entryText(state_));
+    log("entry of " + instance + " restored");
   });
 }
 
 void Machine::heartbeat() {
   if (!server_ || state_.empty()) return;
-  ++beats_;
+  ++heartbeats_written_;
   const std::string key = entryKey(server_->instance());
-  const std::string* const held = at_.store.find(key);
+  const std::string* const held = soak_.store.find(key);
   const bool is_same = held != nullptr && nlohmann::json::parse(*held).at("state") == state_;
-  if (is_same) return at_.store.touch(key, entryText(state_));
-  at_.store.put(key, entryText(state_));
+  if (is_same) return soak_.store.touch(key, entryText(state_));
+  soak_.store.put(key, entryText(state_));
 }
 
 bool Machine::writes(const std::string& key) const {
--- a/tests/platform/soak/machine.h
+++ b/tests/platform/soak/machine.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One machine of a soak: a real node process, the server beside it, its link, and its entry in the
-/// store.
+/// One machine of a soak: a real node process, the application server next to it, its network link
+/// and its entry in the store.
 
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -19,7 +19,7 @@
 
 namespace coursepond::soak {
 
-/// What the deployment promises; also told to the nodes.
+/// Time bounds that the deployment promises. Passed to the nodes with --bounds.
 struct Bounds {
   Duration drain = std::chrono::seconds(2);
   Duration config_apply = std::chrono::seconds(2);
@@ -27,69 +27,71 @@
   Duration grace = std::chrono::seconds(6);
 };
 
-/// Between two writes of a server's entry.
+/// Interval between two writes of a server's entry.
 inline constexpr Duration kHeartbeat = std::chrono::milliseconds(1500);
-/// A server that fell silent loses its entry after three heartbeats.
-inline constexpr Duration kEntryLife = 3 * kHeartbeat;
+/// Time after which the entry of a crashed server is removed: three heartbeats.
+inline constexpr Duration kEntryLifetime = 3 * kHeartbeat;
 
-/// Whether no soak listens on a network now: each listens for its first machine's store.
+/// Returns true if no running soak uses the network. Each soak listens on the store port of its
+/// first machine.
 bool isNetworkFree(std::uint32_t network);
 
 struct MachineSettings {
   std::string name;
-  std::size_t number = 0;     ///< From 0.
-  std::uint32_t network = 0;  ///< Second part of its loopback addresses.
+  std::size_t number = 0;     ///< Counted from 0.
+  std::uint32_t network = 0;  ///< Second octet of its loopback addresses.
   std::string zone;
   std::string service;
-  std::string folder;  ///< Of its settings and log.
+  std::string folder;  ///< Folder for its settings and log.
   std::uint64_t link_rate = 0;
   Bounds bounds;
 };
 
-/// What all machines of a soak share.
-struct Surroundings {
+/// Services and callbacks that all machines of a soak share.
+struct SoakContext {
   boost::asio::io_context& context;
   Environment& environment;
   platform::StoreStandIn& store;
   Ledger& ledger;
-  TroubleBook& troubles;
-  /// A request is read by the server of that instance.
+  FaultLog& faults;
+  /// Called when the server with this instance id has read a request.
   std::function<void(const std::string& machine, const std::string& instance,
                      const std::string& request)>
       on_arrival;
-  /// A request of that number crashed a server.
+  /// Called when the crashing request with this number crashed a server.
   std::function<void(std::uint64_t crasher)> on_crash;
-  /// Something that must not happen to a process.
-  std::function<void(const std::string& kind, const std::string& story)> on_violation;
+  /// Called when a node process does something that it must never do.
+  std::function<void(const std::string& kind, const std::string& description)> on_violation;
   std::function<void(const std::string& line)> log;
 };
 
 class Machine {
  public:
-  /// Listens on loopback addresses of its own; starts neither process nor server.
-  Machine(Surroundings surroundings, MachineSettings settings);
+  /// Listens on its own loopback addresses. Does not start the process or the server.
+  Machine(SoakContext soak, MachineSettings settings);
   ~Machine();
   Machine(const Machine&) = delete;
   Machine& operator=(const Machine&) = delete;
 
   const std::string& name() const { return settings_.name; }
   const std::string& service() const { return settings_.service; }
-  /// Where troubles of its server are noted; those of the process and link are under its name.
-  std::string serverPlace() const { return "server of " + settings_.name; }
-  Address callers() const;
-  std::uint32_t nodeLife() const { return life_; }
+  /// Component in the fault log for faults of the server. Faults of the process and the link are
+  /// recorded under name().
+  std::string serverComponent() const { return "server of " + settings_.name; }
+  Address callerAddress() const;
+  std::uint32_t nodeIncarnation() const { return incarnation_; }
   bool isNodeRunning() const { return process_ != nullptr; }
 
-  /// Faults of the process; each does nothing while there is none to hit.
+  /// Faults of the process. They have no effect while the process is not running.
   void startNode();
-  void terminateNode(Duration away);
-  void killNode(Duration away);
+  void terminateNode(Duration downtime);
+  void killNode(Duration downtime);
   void freezeNode(Duration length);
-  /// The same, and its steady clock does not count the time (see suspend_clock.cpp).
+  /// Freezes the process, and its steady clock does not count the time (see suspend_clock.cpp).
   void suspendNode(Duration length);
-  /// Writes changed settings and tells the process.
+  /// Writes changed settings and sends SIGHUP to the process.
   void hangUpNode();
-  /// Looks whether the process has ended; to be called often.
+  /// Checks whether the process has ended. Has to be called frequently.
   void pollNode();
 
   /// Faults of the link.
@@ -98,50 +100,50 @@
   void silenceLink(Direction direction, Duration length);
   void resetLink();
 
-  /// The server.
+  /// Lifecycle and faults of the server.
   void startServer();
-  /// Says that it leaves, or lets its entry go without a word; serves on for `length`, ends and is
-  /// started anew after `away`.
-  void drainServer(bool says_so, Duration length, Duration away);
-  void crashServer(Duration away);
+  /// Marks its entry as draining if `is_announced`, otherwise removes the entry. The server
+  /// continues to serve for `length`, then stops and restarts after `downtime`.
+  void drainServer(bool is_announced, Duration length, Duration downtime);
+  void crashServer(Duration downtime);
   void slowServer(double factor, Duration length);
-  /// Its entry goes though it runs, and comes back.
+  /// Removes the entry of a running server and restores it after `length`.
   void lapseEntry(Duration length);
   void heartbeat();
-  /// Whether the server that runs now keeps this entry of the store.
+  /// Returns true if the running server writes this entry of the store.
   bool writes(const std::string& key) const;
-  /// Since when the instance is leaving or gone, as the store acknowledged it.
+  /// Returns when the store acknowledged that the instance is draining or removed.
   std::optional<TimePoint> leavingSince(const std::string& instance) const;
 
  private:
   void writeSettings();
-  void standStill(Duration length, bool is_suspension);
+  void pauseProcess(Duration length, bool is_suspension);
   void onServerCrashed(const std::string& instance, std::uint64_t crasher);
   void onNodeEnded(int status);
-  void endTroubleLater(std::size_t trouble, Duration length, std::function<void()> undo);
+  void scheduleFaultEnd(std::size_t fault, Duration length, std::function<void()> undo);
   std::string entryText(const std::string& state) const;
   std::string entryKey(const std::string& instance) const { return "servers/" + instance; }
-  void endServer(const std::string& instance, Duration away);
-  void restartServerLater(Duration away, std::size_t trouble);
-  TimePoint now() const { return at_.environment.now(); }
+  void endServer(const std::string& instance, Duration downtime);
+  void restartServerLater(Duration downtime, std::size_t fault);
+  TimePoint now() const { return soak_.environment.now(); }
   void log(const std::string& what) const;
 
-  Surroundings at_;
+  SoakContext soak_;
   MachineSettings settings_;
   Link link_;
   std::unique_ptr<process_tests::ProcessHandle> process_;
-  std::uint32_t life_ = 0;
+  std::uint32_t incarnation_ = 0;
   std::uint32_t settings_written_ = 0;
-  int freezes_ = 0;
+  int active_pauses_ = 0;
   bool is_expected_to_end_ = false;
   std::optional<TimePoint> terminated_at_;
-  std::optional<std::size_t> away_trouble_;
-  Duration away_{};
+  std::optional<std::size_t> downtime_fault_;
+  Duration downtime_{};
 
   std::unique_ptr<BackEnd> server_;
   std::uint32_t server_starts_ = 0;
-  std::uint64_t beats_ = 0;
-  std::string state_;  ///< As the entry says; empty: it has no entry.
+  std::uint64_t heartbeats_written_ = 0;
+  std::string state_;  ///< State in the entry; empty if there is no entry.
   bool is_server_leaving_ = false;
   std::map<std::string, TimePoint> leaving_since_;
 };
--- a/tests/platform/soak/main.cpp
+++ b/tests/platform/soak/main.cpp
@@ -1,5 +1,5 @@
-/// coursepond-soak: real nodes in a two-hop mesh on loopback, under troubles that follow from a
-/// seed. COURSEPOND_BIN names the folder of the programs.
+/// coursepond-soak: runs real nodes in a two-hop mesh on loopback, injects faults that are derived
+/// from a seed, and checks the promises. COURSEPOND_BIN is the folder of the programs.
 
 #include <unistd.h>
 
@@ -18,46 +18,46 @@
 using namespace coursepond::soak;
 
 constexpr double kBytesPerMegabit = 125'000.0;
-/// Machines have loopback addresses that end in 1 to 250.
-constexpr std::size_t kMostMachines = 120;
-/// A value of the store holds a megabyte at most, so many routes of about 210 bytes.
+/// The last octet of a machine's loopback address has to stay within 1 to 250.
+constexpr std::size_t kMaxMachines = 120;
+/// A value in the store is limited to 1 MB, which holds this many routes of about 210 bytes.
 constexpr std::size_t kLargeRoutes = 4200;
 
 constexpr std::uint32_t kNetworks = 255;
 
-/// A network that no other soak uses at this moment, looked for from one that follows from the
-/// process's id, so that two that start together begin in different places.
+/// Returns a network that no other running soak uses. The search starts at a network derived from
+/// the process id, so that two soaks that start at the same time try different networks first.
 std::uint32_t freeNetwork() {
   const auto first = static_cast<std::uint32_t>(getpid());
   for (std::uint32_t step = 0; step < kNetworks; ++step) {
     const std::uint32_t network = 1 + (first + step) % kNetworks;
     if (isNetworkFree(network)) return network;
   }
-  throw std::runtime_error("no loopback network is free: end other soaks");
+  throw std::runtime_error("no loopback network is free: stop other soaks");
 }
 
 cxxopts::Options makeOptions() {
-  cxxopts::Options options("coursepond-soak", "Soaks a two-hop mesh of real processes");
+  cxxopts::Options options("coursepond-soak",
+                           "Runs a soak test on a two-hop mesh of real processes");
   auto add = options.add_options();
-  add("seed", "Of the schedule and the clients",
+  add("seed", "Seed of the schedule and the clients",
       cxxopts::value<std::uint64_t>()->default_value("1"));
-  add("seconds", "Time in which troubles begin; some 20 s are added",
+  add("seconds", "Time during which faults start; the run takes about 20 s longer",
       cxxopts::value<std::int64_t>()->default_value("45"));
-  add("machines", "Nodes, each with a server (3 to 120)",
+  add("machines", "Number of nodes, each with a server (3 to 120)",
       cxxopts::value<std::size_t>()->default_value("6"));
-  add("scenario",
-      "mixed: all troubles; large: narrow links, thousands of routes, servers that leave",
+  add("scenario", "mixed: all faults; large: slow links, thousands of routes, draining servers",
       cxxopts::value<std::string>()->default_value("mixed"));
-  add("link-mbps", "Usual width of each machine's link; 0: the scenario's",
+  add("link-mbps", "Bandwidth of each machine's link in Mbit/s; 0: default of the scenario",
       cxxopts::value<double>()->default_value("0"));
-  add("routes", "Most routes of a version; 0: the scenario's",
+  add("routes", "Maximum number of routes of a version; 0: default of the scenario",
       cxxopts::value<std::size_t>()->default_value("0"));
-  add("network", "Second part of all loopback addresses (1 to 255); 0: one that is free",
+  add("network", "Second octet of all loopback addresses (1 to 255); 0: any free one",
       cxxopts::value<std::uint32_t>()->default_value("0"));
-  add("folder", "For settings and logs", cxxopts::value<std::string>()->default_value(""));
-  add("keep", "Keep the folder without a violation too");
-  add("list", "Print the schedule and end");
-  add("help", "Print this");
+  add("folder", "Folder for settings and logs", cxxopts::value<std::string>()->default_value(""));
+  add("keep", "Keep the folder even if there is no violation");
+  add("list", "Print the schedule and exit");
+  add("help", "Print this help");
   return options;
 }
 
@@ -71,23 +71,23 @@
   if (settings.network == 0) settings.network = freeNetwork();
   const std::string scenario = flags["scenario"].as<std::string>();
   if (scenario != "mixed" && scenario != "large") {
-    throw std::invalid_argument("no scenario '" + scenario + "': use mixed or large");
+    throw std::invalid_argument("unknown scenario '" + scenario + "': use mixed or large");
   }
-  if (schedule.machines < 3 || schedule.machines > kMostMachines) {
+  if (schedule.machines < 3 || schedule.machines > kMaxMachines) {
     throw std::invalid_argument("use 3 to 120 machines");
   }
   double megabits = 100;
   if (scenario == "large") {
     schedule.only_versions = true;
-    schedule.most_routes = kLargeRoutes;
-    schedule.most_added = kLargeRoutes;
+    schedule.max_routes = kLargeRoutes;
+    schedule.max_added = kLargeRoutes;
     megabits = 10;
   }
   if (const auto routes = flags["routes"].as<std::size_t>(); routes > 0) {
-    schedule.most_routes = routes;
-    schedule.most_added = routes;
+    schedule.max_routes = routes;
+    schedule.max_added = routes;
   }
-  if (const double told = flags["link-mbps"].as<double>(); told > 0) megabits = told;
+  if (const double requested = flags["link-mbps"].as<double>(); requested > 0) megabits = requested;
   settings.link_rate = static_cast<std::uint64_t>(megabits * kBytesPerMegabit);
   return settings;
 }
@@ -106,7 +106,8 @@
   std::string folder = flags["folder"].as<std::string>();
   if (folder.empty()) {
     std::string pattern = std::filesystem::temp_directory_path() / "coursepond-soak-XXXXXX";
-    if (mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no temporary folder");
+    if (mkdtemp(pattern.data()) == nullptr)
+      throw std::runtime_error("cannot create a temporary folder");
     folder = pattern;
   }
   std::filesystem::create_directories(folder);
@@ -121,7 +122,7 @@
 }
 
 void printOutcome(const SoakOutcome& outcome) {
-  const JudgeCounts& counts = outcome.counts;
+  const CheckCounts& counts = outcome.counts;
   std::cout << "requests=" << counts.requests << " in_touch=" << counts.in_touch
             << " in_touch_served=" << counts.in_touch_served << " refused=" << counts.refused
             << " unknown=" << counts.unknown << " cut=" << counts.cut
@@ -129,7 +130,7 @@
             << " crashes=" << counts.crashes << " crashers_judged=" << counts.crashers_judged
             << " by_stop=" << counts.by_stop << " stops_judged=" << counts.stops_judged
             << " versions=" << outcome.versions << " routes=" << outcome.routes
-            << " longest_version_bytes=" << outcome.longest
+            << " longest_version_bytes=" << outcome.longest_version_bytes
             << " longest_lag_ms=" << toMilliseconds(outcome.longest_lag)
             << " violations=" << outcome.violations.size() << std::endl;
 }
@@ -140,11 +141,12 @@
   setenv("COURSEPOND_BIN", own.parent_path().c_str(), kKeepOther);
 }
 
-/// Nodes are started with a clock that a suspension can hold.
+/// Makes the nodes load a clock that stands still during a simulated suspension.
 void preloadClock() {
   const std::filesystem::path own = std::filesystem::read_symlink("/proc/self/exe");
   setenv("LD_PRELOAD", (own.parent_path() / "libcoursepond-suspend-clock.so").c_str(), 1);
-  // Inherited: a node that is suspended before its library is set up is not ended by the signal.
+  // Inherited by the nodes, so that the signal does not terminate a node whose library has not
+  // installed its handler yet.
   std::signal(clockSignal(), SIG_IGN);
 }
 
@@ -156,7 +158,7 @@
   const SoakOutcome outcome = Soak(settings).run();
   printOutcome(outcome);
   if (!outcome.violations.empty()) {
-    std::cout << "repeat with: " << commandFor(flags) << std::endl;
+    std::cout << "reproduce with: " << commandFor(flags) << std::endl;
     return EXIT_FAILURE;
   }
   const bool is_ours = flags["folder"].as<std::string>().empty();
--- a/tests/platform/soak/schedule.cpp
+++ b/tests/platform/soak/schedule.cpp
@@ -11,22 +11,23 @@
 
 using std::chrono::milliseconds;
 
-/// After so long other machines are hit; and store troubles come at a period's start only.
+/// Length of a period. Each period affects other machines. Store faults other than restores start
+/// only at the beginning of a period.
 constexpr Duration kPeriod = std::chrono::seconds(14);
-constexpr Duration kStorePart = std::chrono::seconds(4);
-/// Of the machines, those that a period's troubles hit.
-constexpr double kHitPart = 0.5;
-/// Of the periods, those in which all processes go at the same moment.
-constexpr double kHerdPart = 0.2;
-/// Of the periods, those with planned work only: stops and changes of settings, on any machine.
-constexpr double kPlannedPart = 0.4;
-/// Of the periods, those in which the store comes back from a copy; and of these, those in which it
-/// does so twice in short order.
-constexpr double kRestorePart = 0.5;
-constexpr double kRestoreAgainPart = 0.3;
-/// Of the versions, those that add many routes at once: in a mixed soak, and in one of large ones.
-constexpr double kManyPart = 0.3;
-constexpr double kManyPartOfLarge = 0.7;
+constexpr Duration kMaxStoreFault = std::chrono::seconds(4);
+/// Fraction of the machines that the faults of a period affect.
+constexpr double kAffectedMachinesFraction = 0.5;
+/// Fraction of the periods in which all processes are stopped at the same time.
+constexpr double kSimultaneousStopFraction = 0.2;
+/// Fraction of the periods with planned work only: stops and settings changes on any machine.
+constexpr double kPlannedPeriodFraction = 0.4;
+/// Fraction of the periods in which the store is restored from a copy, and the fraction of these in
+/// which it is restored again shortly after.
+constexpr double kRestoreFraction = 0.5;
+constexpr double kSecondRestoreFraction = 0.3;
+/// Fraction of the versions that add many routes at once, in a mixed soak and in a large one.
+constexpr double kManyRoutesFraction = 0.3;
+constexpr double kManyRoutesFractionLarge = 0.7;
 constexpr std::uint64_t kNarrowestLink = 20'000;
 constexpr std::uint64_t kWidestNarrowLink = 1'250'000;  // 10 Mbit/s.
 
@@ -70,7 +71,7 @@
   std::vector<Event> make() {
     makeVersions();
     if (settings_.only_versions) {
-      makeLeavings();
+      makeDrains();
     } else {
       for (Duration start{}; start < settings_.length; start += kPeriod) makePeriod(start);
       std::swap(random_, later_random_);
@@ -97,7 +98,7 @@
   }
 
   void makeVersions();
-  void makeLeavings();
+  void makeDrains();
   void makeCrashingRequests();
   void makeSuspensions();
   void makeRestores();
@@ -105,14 +106,15 @@
   void addVersion(Duration at, std::uint64_t added, std::uint64_t removed);
   void makePeriod(Duration start);
   void makePlannedPeriod(Duration start);
-  void addHerd(Duration at);
+  void addSimultaneousStops(Duration at);
   void addSeries(Duration start, const std::vector<std::size_t>& machines);
   void addEvent(Duration at, EventKind kind, std::size_t machine);
-  void addStoreTrouble(Duration at);
+  void addStoreFault(Duration at);
 
   const ScheduleSettings& settings_;
   std::mt19937_64 random_;
-  /// For kinds that came later, so that a seed's other events stay what they were.
+  /// Separate generator for crashing requests, suspensions and restores, so that they do not change
+  /// the other events of a seed.
   std::mt19937_64 later_random_;
   std::vector<Event> events_;
   std::size_t routes_ = 0;
@@ -129,14 +131,14 @@
 
 void ScheduleMaker::makeVersions() {
   for (Duration at = time(500, 2000); at < settings_.length; at += time(300, 3500)) {
-    if (chance(0.2)) {  // A quick series.
+    if (chance(0.2)) {  // A burst of versions.
       for (std::uint64_t left = number(3, 8); left > 0; --left) {
         addVersion(at, 1, number(0, 1));
         at += time(10, 200);
       }
-    } else if (chance(settings_.only_versions ? kManyPartOfLarge : kManyPart)) {
-      const std::uint64_t added = number(settings_.most_added / 3, settings_.most_added);
-      const bool has_room = routes_ + added <= settings_.most_routes;
+    } else if (chance(settings_.only_versions ? kManyRoutesFractionLarge : kManyRoutesFraction)) {
+      const std::uint64_t added = number(settings_.max_added / 3, settings_.max_added);
+      const bool has_room = routes_ + added <= settings_.max_routes;
       addVersion(at, has_room ? added : 1, has_room ? number(0, 2) : routes_ / 2);
     } else {
       addVersion(at, number(1, 3), number(0, 2));
@@ -144,14 +146,14 @@
   }
 }
 
-/// One server after the other leaves, so that it shows whether that waits behind large versions.
-void ScheduleMaker::makeLeavings() {
+/// Drains one server after the other, to detect whether this is delayed by large versions.
+void ScheduleMaker::makeDrains() {
   for (Duration at = time(0, 3000); at < settings_.length; at += time(1000, 4000)) {
     addEvent(at, EventKind::kServerDrain, number(0, settings_.machines - 1));
   }
 }
 
-/// One after the other, some at the same time, some again after a pause.
+/// Adds crashing requests one after the other. Some overlap, and some come back after a pause.
 void ScheduleMaker::makeCrashingRequests() {
   std::uint64_t last = 0;
   for (Duration at = time(1000, 12'000); at < settings_.length; at += time(3000, 20'000)) {
@@ -165,7 +167,7 @@
   }
 }
 
-/// Single machines, and now and then several at once.
+/// Suspends single machines, and sometimes several at once.
 void ScheduleMaker::makeSuspensions() {
   for (Duration at = time(500, 8000); at < settings_.length; at += time(1000, 8000)) {
     for (std::uint64_t left = chance(0.2) ? number(2, 3) : 1; left > 0; --left) {
@@ -176,10 +178,10 @@
 
 void ScheduleMaker::makeRestores() {
   for (Duration start{}; start < settings_.length; start += kPeriod) {
-    if (!chance(kRestorePart)) continue;
+    if (!chance(kRestoreFraction)) continue;
     const Duration at = start + time(0, 6000);
     addRestore(at);
-    if (chance(kRestoreAgainPart)) addRestore(at + time(300, 3000));
+    if (chance(kSecondRestoreFraction)) addRestore(at + time(300, 3000));
   }
 }
 
@@ -192,7 +194,8 @@
   events_.push_back(event);
 }
 
-/// Most machines in turn, some again soon after their restart, some at once.
+/// Stops or reloads most machines in turn, some again soon after their restart, some at the same
+/// time.
 void ScheduleMaker::makePlannedPeriod(Duration start) {
   for (Duration at = start + time(0, 2000); at < start + kPeriod; at += time(0, 1200)) {
     const std::size_t machine = number(0, settings_.machines - 1);
@@ -201,28 +204,29 @@
 }
 
 void ScheduleMaker::makePeriod(Duration start) {
-  if (chance(kPlannedPart)) return makePlannedPeriod(start);
+  if (chance(kPlannedPeriodFraction)) return makePlannedPeriod(start);
   std::vector<std::size_t> machines(settings_.machines);
   std::iota(machines.begin(), machines.end(), std::size_t{0});
   std::shuffle(machines.begin(), machines.end(), random_);
-  const auto hit = static_cast<std::size_t>(static_cast<double>(machines.size()) * kHitPart);
+  const auto hit =
+      static_cast<std::size_t>(static_cast<double>(machines.size()) * kAffectedMachinesFraction);
   machines.resize(std::max<std::size_t>(hit, 1));
-  if (chance(0.6)) addStoreTrouble(start + time(0, 1500));
-  if (chance(kHerdPart)) addHerd(start + time(0, 6000));
+  if (chance(0.6)) addStoreFault(start + time(0, 1500));
+  if (chance(kSimultaneousStopFraction)) addSimultaneousStops(start + time(0, 6000));
   for (Duration at = start + time(0, 1000); at < start + kPeriod; at += time(200, 2500)) {
     addSeries(at, machines);
   }
 }
 
-/// All processes are killed, or asked to stop, at once.
-void ScheduleMaker::addHerd(Duration at) {
+/// Kills or terminates all processes at the same time.
+void ScheduleMaker::addSimultaneousStops(Duration at) {
   const EventKind kind = chance(0.5) ? EventKind::kKill : EventKind::kTerminate;
   for (std::size_t machine = 0; machine < settings_.machines; ++machine) {
     addEvent(at, kind, machine);
   }
 }
 
-/// One to five of a kind, soon after one another.
+/// Adds one to five faults of the same kind in short succession.
 void ScheduleMaker::addSeries(Duration start, const std::vector<std::size_t>& machines) {
   constexpr std::array kKinds = {
       EventKind::kTerminate,    EventKind::kTerminate,     EventKind::kTerminate,
@@ -254,10 +258,10 @@
     case EventKind::kServerDrain:
     case EventKind::kServerGoes:
       event.length = time(2400, 5000);
-      event.second_length = time(300, 2000);
+      event.downtime = time(300, 2000);
       break;
     case EventKind::kServerCrash:
-      event.second_length = time(300, 3000);
+      event.downtime = time(300, 3000);
       break;
     case EventKind::kLinkDelay:
       event.amount = number(2'000, 200'000);
@@ -281,7 +285,7 @@
   events_.push_back(event);
 }
 
-void ScheduleMaker::addStoreTrouble(Duration at) {
+void ScheduleMaker::addStoreFault(Duration at) {
   constexpr std::array kKinds = {EventKind::kStoreSlow,   EventKind::kStoreDown,
                                  EventKind::kStoreSilent, EventKind::kStoreThrottled,
                                  EventKind::kStoreReset,  EventKind::kStoreForgets};
@@ -289,7 +293,7 @@
   event.at = at;
   event.kind = kKinds[number(0, kKinds.size() - 1)];
   event.amount = number(50'000, 1'500'000);
-  const auto longest = static_cast<std::uint64_t>(toMilliseconds(kStorePart));
+  const auto longest = static_cast<std::uint64_t>(toMilliseconds(kMaxStoreFault));
   event.length = time(200, longest);
   events_.push_back(event);
 }
@@ -313,8 +317,8 @@
   const bool is_of_all = is_of_store || event.kind == EventKind::kCrashingRequest;
   if (!is_of_all) text += " machine=" + std::to_string(event.machine + 1);
   text += " length_ms=" + std::to_string(toMilliseconds(event.length));
-  if (event.second_length > Duration(0)) {
-    text += " away_ms=" + std::to_string(toMilliseconds(event.second_length));
+  if (event.downtime > Duration(0)) {
+    text += " away_ms=" + std::to_string(toMilliseconds(event.downtime));
   }
   if (event.amount > 0) text += " amount=" + std::to_string(event.amount);
   return text;
--- a/tests/platform/soak/schedule.h
+++ b/tests/platform/soak/schedule.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What happens in a soak and when: follows from the seed alone.
+/// The events of a soak and their times. They depend only on the settings and their seed.
 
 #include <cstdint>
 #include <string>
@@ -31,38 +31,39 @@
   kStoreThrottled,
   kStoreReset,
   kStoreForgets,
-  kStoreRestored,  ///< Away for a moment, then back from a copy.
+  kStoreRestored,  ///< Unavailable for a short time, then restored from a copy.
   kVersion,
-  kCrashingRequest,  ///< Callers send a request that crashes each server that runs it.
-  kSuspend,          ///< A machine stands still, and its steady clock with it.
+  kCrashingRequest,  ///< Callers send a request that crashes each server that executes it.
+  kSuspend,          ///< A machine and its steady clock stand still.
 };
 
 struct Event {
-  Duration at{};  ///< Since the first version.
+  Duration at{};  ///< Time since the end of the warm-up.
   EventKind kind = EventKind::kVersion;
   std::size_t machine = 0;
-  Duration length{};         ///< Of the trouble, or how long a process stays away.
-  Duration second_length{};  ///< How long a server stays away.
-  /// Bytes a second, microseconds of delay or of a copy's age, routes added, or the number of a
-  /// crashing request.
+  Duration length{};    ///< Length of the fault, or downtime of a node process.
+  Duration downtime{};  ///< Downtime of a server.
+  /// Depending on the kind: bytes per second, delay or age of a copy in microseconds, slowdown
+  /// factor, number of added routes, or number of a crashing request.
   std::uint64_t amount = 0;
-  std::uint64_t removed = 0;  ///< Routes.
+  std::uint64_t removed = 0;  ///< Number of removed routes.
 };
 
 struct ScheduleSettings {
   std::uint64_t seed = 1;
   std::size_t machines = 6;
   Duration length = std::chrono::seconds(45);
-  std::size_t most_routes = 800;  ///< Of one version.
-  std::size_t most_added = 400;   ///< At once.
-  bool only_versions = false;     ///< And servers that leave; no trouble.
+  std::size_t max_routes = 800;  ///< Maximum number of routes of one version.
+  std::size_t max_added = 400;   ///< Maximum number of routes that one version adds.
+  bool only_versions = false;    ///< Only versions and draining servers, no faults.
 };
 
-/// In the order of time. Series of troubles overlap; each period has machines that none of them
-/// hits, so that calm ones are there to be judged.
+/// Returns the events in the order of time. Series of faults overlap. In a period with series of
+/// faults, some machines are not affected by them, so that promises can be checked on fault-free
+/// machines.
 std::vector<Event> makeSchedule(const ScheduleSettings& settings);
 
-/// One line: what, where, for how long.
+/// Describes the event in one line: kind, machine and length.
 std::string describeEvent(const Event& event);
 
 }  // namespace coursepond::soak
--- a/tests/platform/soak/soak.cpp
+++ b/tests/platform/soak/soak.cpp
@@ -23,36 +23,38 @@
 constexpr int kOk = 200;
 constexpr std::size_t kServices = 3;
 constexpr std::size_t kZones = 3;
-/// Until the nodes have begun to serve.
+/// Time for the nodes to start serving.
 constexpr Duration kWarmUp = seconds(5);
-/// After the last event: the longest trouble (a planned stop and its time away), with a reserve.
-constexpr Duration kTroublesEnd = seconds(10);
-/// After that and `contact`, every machine must serve the newest version within this.
+/// Time after the last event until all faults have ended: the longest fault (a planned stop and its
+/// downtime) with a margin.
+constexpr Duration kFaultsEnd = seconds(10);
+/// After all faults and `contact`, every machine must serve the newest version within this time.
 constexpr Duration kFinal = seconds(4);
-/// Copies that the store may come back from.
+/// Interval and maximum age of the copies from which the store is restored.
 constexpr Duration kCopyInterval = milliseconds(250);
 constexpr Duration kOldestCopy = seconds(8);
-/// After the store is back; a heartbeat and a little more for the servers.
-constexpr Duration kOperatorWritesAgain = milliseconds(400);
-constexpr Duration kServersWriteAgain = milliseconds(1600);
+/// Delays after a restore. Servers need one heartbeat and a margin to write their entries again.
+constexpr Duration kOperatorRewriteDelay = milliseconds(400);
+constexpr Duration kServerRewriteDelay = milliseconds(1600);
 constexpr Duration kPoll = milliseconds(10);
-/// A timer of the soak that is so late makes what it saw unfit to judge.
+/// A timer of the soak that is later than this counts as a fault of the soak, because observations
+/// made at that time are not reliable.
 constexpr Duration kLagLimit = milliseconds(250);
 constexpr Duration kClientPause = milliseconds(70);
-/// With more machines, each one's clients pause longer.
+/// With more machines than this, clients pause longer between requests.
 constexpr std::size_t kMachinesAtFullPace = 8;
 constexpr Duration kProbePause = milliseconds(200);
-constexpr double kLeavingPart = 0.02;
-constexpr double kSpoiltPart = 0.03;
-/// Of the requests, those that crash servers while such a one is about,
-constexpr double kCrasherPart = 0.05;
-/// with a body of so many bytes where they may not be repeated,
+constexpr double kAbandonFraction = 0.02;
+constexpr double kInjectedFaultFraction = 0.03;
+/// Fraction of the requests that crash servers while a crashing request is active.
+constexpr double kCrasherFraction = 0.05;
+/// Body size in bytes of crashing requests that must not be repeated.
 constexpr std::size_t kCrasherBody = 700;
-/// and how long one runs before its server ends.
+/// Time for which a crashing request runs before it crashes its server.
 constexpr Duration kCrashDelay = milliseconds(60);
 constexpr std::size_t kViolationsPrinted = 20;
 
-/// Seeds of the clients are far from the schedule's.
+/// Derives the seed of a client so that it differs from the seed of the schedule.
 std::uint64_t clientSeed(std::uint64_t seed, std::uint64_t number) {
   return seed * 1'000'003 + number + 1;
 }
@@ -82,7 +84,7 @@
   return names;
 }
 
-/// Sizes and times of a request to a route that is in every version.
+/// Returns a request with random sizes and times for a route that is in every version.
 RequestPlan planFor(std::size_t number, const Route& route, RandomEngine& random) {
   RequestPlan plan;
   plan.route = number;
@@ -96,13 +98,14 @@
         chance(random, 0.1) ? randomNumber(random, 20'000, 100'000) : randomNumber(random, 1, 2000);
   }
   plan.deadline = milliseconds(static_cast<std::int64_t>(randomNumber(random, 600, 2500)));
-  if (chance(random, kSpoiltPart)) plan.spoil = static_cast<Spoil>(randomNumber(random, 1, 3));
+  if (chance(random, kInjectedFaultFraction))
+    plan.injected_fault = static_cast<AnswerFault>(randomNumber(random, 1, 3));
   return plan;
 }
 
 }  // namespace
 
-/// What the store held at a moment.
+/// A copy of the store's content and its time.
 struct StoreCopy {
   TimePoint taken;
   std::shared_ptr<const platform::StoreStandIn::Copy> copy;
@@ -116,10 +119,10 @@
         store_(context_),
         versions_(serviceNames()),
         origin_(environment_.now()),
-        judge_(settings_.bounds, ledger_, versions_, troubles_, machines_, origin_),
+        checker_(settings_.bounds, ledger_, versions_, faults_, machines_, origin_),
         events_(settings_.folder + "/events.log") {
-    if (!events_) throw std::runtime_error("no file can be written in " + settings_.folder);
-    judge_.onViolation([this](const Violation& violation) { onViolation(violation); });
+    if (!events_) throw std::runtime_error("cannot write files in " + settings_.folder);
+    checker_.onViolation([this](const Violation& violation) { onViolation(violation); });
     makeMachines();
     makeClients();
   }
@@ -137,19 +140,19 @@
   std::optional<RequestPlan> planProbe(RandomEngine& random) const;
   std::optional<RequestPlan> planCrasher(RandomEngine& random) const;
 
-  void watchClock(TimePoint due);
+  void measureTimerLag(TimePoint due);
   void poll();
-  void beatHearts();
-  void play(const Event& event);
-  void playStore(const Event& event);
-  void endStoreTrouble();
+  void writeHeartbeats();
+  void inject(const Event& event);
+  void injectStoreFault(const Event& event);
+  void endStoreFault();
   void copyStore();
   void restoreStore(const Event& event);
-  void writeAgain(std::size_t trouble);
-  void lapseUnwritten();
+  void rewriteAfterRestore(std::size_t fault);
+  void removeOrphanedEntries();
   void writeVersion(std::uint64_t added, std::uint64_t removed);
   void noteServed(const Request& request);
-  void judgeRecovery();
+  void checkRecovery();
   SoakOutcome outcome() const;
 
   SoakSettings settings_;
@@ -157,19 +160,21 @@
   runtime::AsioEnvironment environment_;
   platform::StoreStandIn store_;
   Ledger ledger_;
-  TroubleBook troubles_;
-  VersionBook versions_;
+  FaultLog faults_;
+  VersionHistory versions_;
   TimePoint origin_;
-  Judge::Machines machines_;
-  Judge judge_;
+  PromiseChecker::Machines machines_;
+  PromiseChecker checker_;
   std::ofstream events_;
   std::vector<std::unique_ptr<Client>> clients_;
-  std::map<std::uint64_t, TimePoint> crashers_until_;  ///< By number: sent until then.
-  std::map<std::string, std::size_t> newest_served_;   ///< By machine, of the newest routes.
-  std::size_t store_troubles_ = 0;
-  std::deque<StoreCopy> copies_;  ///< Of the last seconds, oldest first.
-  std::string newest_text_;       ///< Of the configuration.
-  std::size_t longest_ = 0;
+  /// Time until which each crashing request is sent, by its number.
+  std::map<std::uint64_t, TimePoint> crashers_until_;
+  /// Newest version whose routes were served, by machine.
+  std::map<std::string, std::size_t> newest_served_;
+  std::size_t active_store_faults_ = 0;
+  std::deque<StoreCopy> copies_;  ///< Copies of the last kOldestCopy, oldest first.
+  std::string newest_text_;       ///< Text of the newest configuration.
+  std::size_t longest_version_bytes_ = 0;
   Duration longest_lag_{};
 };
 
@@ -178,31 +183,34 @@
 }
 
 void Soak::Implementation::onViolation(const Violation& violation) {
-  log("VIOLATION " + violation.kind + " " + violation.story);
-  const std::size_t count = judge_.violations().size();
+  log("VIOLATION " + violation.kind + " " + violation.description);
+  const std::size_t count = checker_.violations().size();
   if (count > kViolationsPrinted) return;
-  std::cout << "VIOLATION " << violation.kind << ": " << violation.story << std::endl;
-  if (count == kViolationsPrinted) std::cout << "further ones stand in events.log" << std::endl;
+  std::cout << "VIOLATION " << violation.kind << ": " << violation.description << std::endl;
+  if (count == kViolationsPrinted)
+    std::cout << "see events.log for further violations" << std::endl;
 }
 
-// ---- The parts
+// ---- Setup
 
 void Soak::Implementation::makeMachines() {
   const std::vector<std::string> services = serviceNames();
-  Surroundings surroundings{
+  SoakContext soak{
       context_,
       environment_,
       store_,
       ledger_,
-      troubles_,
+      faults_,
       [this](const std::string& machine, const std::string& instance, const std::string& id) {
         const auto found = std::find_if(machines_.begin(), machines_.end(), [&](const auto& known) {
           return known->name() == machine;
         });
-        judge_.onArrival(**found, instance, id, ledger_.find(id), now());
+        checker_.onArrival(**found, instance, id, ledger_.find(id), now());
+      },
+      [this](std::uint64_t crasher) { checker_.onCrash(crasher, now()); },
+      [this](const std::string& kind, const std::string& description) {
+        checker_.report(kind, description);
       },
-      [this](std::uint64_t crasher) { judge_.onCrash(crasher, now()); },
-      [this](const std::string& kind, const std::string& story) { judge_.report(kind, story); },
       [this](const std::string& line) { log(line); }};
   for (std::size_t number = 0; number < settings_.schedule.machines; ++number) {
     MachineSettings machine;
@@ -214,7 +222,7 @@
     machine.folder = settings_.folder;
     machine.link_rate = settings_.link_rate;
     machine.bounds = settings_.bounds;
-    machines_.push_back(std::make_unique<Machine>(surroundings, machine));
+    machines_.push_back(std::make_unique<Machine>(soak, machine));
   }
 }
 
@@ -235,19 +243,19 @@
   ClientSettings settings;
   settings.name = "c" + std::to_string(clients_.size() + 1);
   settings.machine = machine.name();
-  settings.node = machine.callers();
+  settings.node = machine.callerAddress();
   settings.style = style;
   settings.pause = pause;
-  settings.leaving_part = is_probe ? 0.0 : kLeavingPart;
+  settings.abandon_fraction = is_probe ? 0.0 : kAbandonFraction;
   settings.seed = clientSeed(settings_.schedule.seed, clients_.size());
   ClientHooks hooks;
   hooks.plan = [this, style, is_probe](RandomEngine& random) {
     return is_probe ? planProbe(random) : planWork(style, random);
   };
-  hooks.node_life = [&machine] { return machine.nodeLife(); };
+  hooks.node_incarnation = [&machine] { return machine.nodeIncarnation(); };
   hooks.on_end = [this](Request& request) {
     noteServed(request);
-    judge_.onEnd(request);
+    checker_.onEnd(request);
   };
   clients_.push_back(
       std::make_unique<Client>(context_, environment_, ledger_, settings, std::move(hooks)));
@@ -256,7 +264,7 @@
 std::optional<RequestPlan> Soak::Implementation::planWork(ClientStyle style,
                                                           RandomEngine& random) const {
   const std::optional<RequestPlan> crasher = planCrasher(random);
-  // What may not be repeated is sent alone on its connection.
+  // Requests that must not be repeated are not pipelined.
   if (crasher && (style != ClientStyle::kPipelined || crasher->is_repeatable)) return crasher;
   while (true) {
     const std::size_t number = randomNumber(random, 0, versions_.baseCount() - 1);
@@ -266,11 +274,11 @@
   }
 }
 
-/// A few of all requests, while one that crashes servers is about: always the same route, times and
-/// sizes.
+/// Returns a crashing request for a small fraction of the calls while one is active. It always has
+/// the same route, times and sizes.
 std::optional<RequestPlan> Soak::Implementation::planCrasher(RandomEngine& random) const {
   for (const auto& [number, until] : crashers_until_) {
-    if (now() > until || !chance(random, kCrasherPart)) continue;
+    if (now() > until || !chance(random, kCrasherFraction)) continue;
     RequestPlan plan;
     plan.route = number % versions_.baseCount();
     const Route& route = versions_.route(plan.route);
@@ -285,7 +293,7 @@
   return std::nullopt;
 }
 
-/// Mostly the newest routes, and some that have gone.
+/// Returns a request mostly for the newest routes, and sometimes for a removed route.
 std::optional<RequestPlan> Soak::Implementation::planProbe(RandomEngine& random) const {
   const std::vector<std::size_t>& markers = versions_.markers();
   const std::vector<std::size_t>& removed = versions_.removedMarkers();
@@ -311,30 +319,30 @@
   newest = std::max(newest, versions_.route(request.route).added);
 }
 
-// ---- Repeated work
+// ---- Periodic tasks
 
-void Soak::Implementation::watchClock(TimePoint due) {
+void Soak::Implementation::measureTimerLag(TimePoint due) {
   const Duration lag = now() - due;
   longest_lag_ = std::max(longest_lag_, lag);
   if (lag > kLagLimit) {
     log("the soak's own timers were late by " + std::to_string(toMilliseconds(lag)) + " ms");
-    const std::size_t trouble = troubles_.begin(kSoakPlace, TroubleKind::kUnplanned, due);
-    troubles_.end(trouble, now());
+    const std::size_t fault = faults_.begin(kSoakComponent, FaultKind::kUnplanned, due);
+    faults_.end(fault, now());
   }
 }
 
 void Soak::Implementation::poll() {
   for (const auto& machine : machines_) machine->pollNode();
-  judge_.judgeEnded(now());
+  checker_.checkEnded(now());
   environment_.schedule(kPoll, [this, due = now() + kPoll] {
-    watchClock(due);
+    measureTimerLag(due);
     poll();
   });
 }
 
-void Soak::Implementation::beatHearts() {
+void Soak::Implementation::writeHeartbeats() {
   for (const auto& machine : machines_) machine->heartbeat();
-  environment_.schedule(kHeartbeat, [this] { beatHearts(); });
+  environment_.schedule(kHeartbeat, [this] { writeHeartbeats(); });
 }
 
 // ---- Events
@@ -346,13 +354,13 @@
   const std::size_t version = versions_.count();
   store_.put(kConfigurationKey, text);
   versions_.acknowledge(now());
-  longest_ = std::max(longest_, text.size());
-  log("version " + VersionBook::label(version) + " acknowledged, " +
+  longest_version_bytes_ = std::max(longest_version_bytes_, text.size());
+  log("version " + VersionHistory::label(version) + " acknowledged, " +
       std::to_string(versions_.routeCount()) + " routes, " + std::to_string(text.size()) +
       " bytes");
 }
 
-void Soak::Implementation::play(const Event& event) {
+void Soak::Implementation::inject(const Event& event) {
   Machine& machine = *machines_[event.machine];
   switch (event.kind) {
     case EventKind::kTerminate:
@@ -374,11 +382,11 @@
     case EventKind::kLinkSilentOut:
       return machine.silenceLink(Direction::kOut, event.length);
     case EventKind::kServerDrain:
-      return machine.drainServer(true, event.length, event.second_length);
+      return machine.drainServer(true, event.length, event.downtime);
     case EventKind::kServerGoes:
-      return machine.drainServer(false, event.length, event.second_length);
+      return machine.drainServer(false, event.length, event.downtime);
     case EventKind::kServerCrash:
-      return machine.crashServer(event.second_length);
+      return machine.crashServer(event.downtime);
     case EventKind::kServerSlow:
       return machine.slowServer(static_cast<double>(event.amount), event.length);
     case EventKind::kEntryLapse:
@@ -392,16 +400,16 @@
       crashers_until_[event.amount] = now() + event.length;
       return;
     default:
-      return playStore(event);
+      return injectStoreFault(event);
   }
 }
 
-void Soak::Implementation::playStore(const Event& event) {
+void Soak::Implementation::injectStoreFault(const Event& event) {
   log("store: " + describeEvent(event));
   if (event.kind == EventKind::kStoreForgets) return store_.forgetHistory();
   if (event.kind == EventKind::kStoreRestored) return restoreStore(event);
-  const std::size_t trouble = troubles_.begin(kStorePlace, TroubleKind::kUnplanned, now());
-  ++store_troubles_;
+  const std::size_t fault = faults_.begin(kStoreComponent, FaultKind::kUnplanned, now());
+  ++active_store_faults_;
   switch (event.kind) {
     case EventKind::kStoreSlow:
       store_.setDelay(Duration(static_cast<Duration::rep>(event.amount)));
@@ -421,18 +429,18 @@
       store_.cutWatches();
       break;
   }
-  environment_.schedule(event.length, [this, trouble] {
-    troubles_.end(trouble, now());
-    endStoreTrouble();
+  environment_.schedule(event.length, [this, fault] {
+    faults_.end(fault, now());
+    endStoreFault();
   });
 }
 
-/// One of them; the store is well when it was the last.
-void Soak::Implementation::endStoreTrouble() {
-  if (--store_troubles_ > 0) return;
+/// Ends one store fault. The store recovers when no other fault is active.
+void Soak::Implementation::endStoreFault() {
+  if (--active_store_faults_ > 0) return;
   store_.setDelay(Duration(0));
   store_.setTrouble(platform::StoreTrouble::kNone);
-  log("store well again");
+  log("store recovered");
 }
 
 void Soak::Implementation::copyStore() {
@@ -441,39 +449,40 @@
   environment_.schedule(kCopyInterval, [this] { copyStore(); });
 }
 
-/// Away for a moment, then back from the newest copy that is as old as the event says.
+/// Makes the store unavailable for the length of the event, then restores it from the newest copy
+/// that is at least as old as the event says.
 void Soak::Implementation::restoreStore(const Event& event) {
   const Duration age(static_cast<Duration::rep>(event.amount));
   StoreCopy chosen = copies_.front();
   for (const StoreCopy& copy : copies_) {
     if (copy.taken + age <= now()) chosen = copy;
   }
-  const std::size_t trouble = troubles_.begin(kStorePlace, TroubleKind::kUnplanned, now());
-  ++store_troubles_;
+  const std::size_t fault = faults_.begin(kStoreComponent, FaultKind::kUnplanned, now());
+  ++active_store_faults_;
   store_.setTrouble(platform::StoreTrouble::kBusy);
   store_.cutWatches();
-  environment_.schedule(event.length, [this, trouble, chosen] {
+  environment_.schedule(event.length, [this, fault, chosen] {
     const std::uint64_t before = store_.revision();
     store_.restore(*chosen.copy);
-    log("store back from a copy: era " + std::to_string(store_.era()) + ", revision " +
+    log("store restored from a copy: era " + std::to_string(store_.era()) + ", revision " +
         std::to_string(before) + " to " + std::to_string(store_.revision()));
-    endStoreTrouble();
-    writeAgain(trouble);
+    endStoreFault();
+    rewriteAfterRestore(fault);
   });
 }
 
-/// The operator and the servers write again what the copy lacks; then all is well.
-void Soak::Implementation::writeAgain(std::size_t trouble) {
-  environment_.schedule(kOperatorWritesAgain, [this] {
+/// The operator and the servers write again what the copy lacks, then the fault ends.
+void Soak::Implementation::rewriteAfterRestore(std::size_t fault) {
+  environment_.schedule(kOperatorRewriteDelay, [this] {
     store_.put(kConfigurationKey, newest_text_);
-    log("the newest version is written again");
+    log("newest version written again");
   });
-  environment_.schedule(kServersWriteAgain, [this, trouble] { troubles_.end(trouble, now()); });
-  environment_.schedule(kEntryLife, [this] { lapseUnwritten(); });
+  environment_.schedule(kServerRewriteDelay, [this, fault] { faults_.end(fault, now()); });
+  environment_.schedule(kEntryLifetime, [this] { removeOrphanedEntries(); });
 }
 
-/// Entries that the copy brought back and that no server keeps.
-void Soak::Implementation::lapseUnwritten() {
+/// Removes entries that were restored from the copy and that no running server writes.
+void Soak::Implementation::removeOrphanedEntries() {
   for (const std::string& key : store_.keys("servers/")) {
     const bool is_kept = std::any_of(machines_.begin(), machines_.end(),
                                      [&key](const auto& machine) { return machine->writes(key); });
@@ -481,7 +490,7 @@
   }
 }
 
-// ---- The run
+// ---- Run
 
 SoakOutcome Soak::Implementation::run() {
   writeVersion(2, 0);
@@ -490,46 +499,46 @@
     machine->startNode();
   }
   poll();
-  beatHearts();
+  writeHeartbeats();
   copyStore();
   environment_.schedule(kWarmUp, [this] {
     for (const auto& client : clients_) client->start();
   });
   for (const Event& event : makeSchedule(settings_.schedule)) {
-    environment_.schedule(kWarmUp + event.at, [this, event] { play(event); });
+    environment_.schedule(kWarmUp + event.at, [this, event] { inject(event); });
   }
-  const Duration calm_from = kWarmUp + settings_.schedule.length + kTroublesEnd;
-  environment_.schedule(calm_from, [this] { log("all troubles are over"); });
+  const Duration calm_from = kWarmUp + settings_.schedule.length + kFaultsEnd;
+  environment_.schedule(calm_from, [this] { log("all faults have ended"); });
   const Duration end = calm_from + settings_.bounds.contact + kFinal;
   environment_.schedule(end, [this] {
-    judgeRecovery();
+    checkRecovery();
     for (const auto& client : clients_) client->finish();
   });
   context_.run_for(end + seconds(5));
-  judge_.judgeEnded(TimePoint::max() - seconds(10));
-  judge_.judgeAll();
+  checker_.checkEnded(TimePoint::max() - seconds(10));
+  checker_.checkAll();
   clients_.clear();
   return outcome();
 }
 
-void Soak::Implementation::judgeRecovery() {
+void Soak::Implementation::checkRecovery() {
   for (const auto& machine : machines_) {
     const std::size_t served = newest_served_[machine->name()];
     const std::size_t newest = versions_.count() - 1;
     if (served == newest) continue;
-    judge_.report("not_recovered", machine->name() + " serves routes of " +
-                                       VersionBook::label(served) + " at the end, not of " +
-                                       VersionBook::label(newest));
+    checker_.report("not_recovered", machine->name() + " serves routes of " +
+                                         VersionHistory::label(served) + " at the end, not of " +
+                                         VersionHistory::label(newest));
   }
 }
 
 SoakOutcome Soak::Implementation::outcome() const {
   SoakOutcome outcome;
-  outcome.violations = judge_.violations();
-  outcome.counts = judge_.counts();
+  outcome.violations = checker_.violations();
+  outcome.counts = checker_.counts();
   outcome.versions = versions_.count();
   outcome.routes = versions_.routeCount();
-  outcome.longest = longest_;
+  outcome.longest_version_bytes = longest_version_bytes_;
   outcome.longest_lag = longest_lag_;
   return outcome;
 }
--- a/tests/platform/soak/soak.h
+++ b/tests/platform/soak/soak.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// One soak: real nodes on loopback, their clients, servers, links and store, troubles by a
-/// schedule, and the judge of it all.
+/// One soak: real nodes on loopback with their clients, servers, links and store, scheduled faults,
+/// and the promise checker.
 
 #include <cstdint>
 #include <memory>
@@ -14,31 +14,31 @@
 
 struct SoakSettings {
   ScheduleSettings schedule;
-  std::uint64_t link_rate = 0;  ///< Usual bytes a second of each machine's link each way; 0: any.
-  std::uint32_t network = 0;    ///< Of all loopback addresses; another for each soak at a time.
-  std::string folder;           ///< Of settings and logs; must exist.
+  std::uint64_t link_rate = 0;  ///< Bytes per second and direction of each link; 0: no limit.
+  std::uint32_t network = 0;    ///< Second octet of all addresses; unique among running soaks.
+  std::string folder;           ///< Folder for settings and logs; must exist.
   Bounds bounds;
 };
 
-/// What a soak found.
+/// The result of a soak.
 struct SoakOutcome {
   std::vector<Violation> violations;
-  JudgeCounts counts;
+  CheckCounts counts;
   std::size_t versions = 0;
-  std::size_t routes = 0;   ///< Of the last version.
-  std::size_t longest = 0;  ///< Bytes of the longest version.
-  Duration longest_lag{};   ///< Of the soak's own timers.
+  std::size_t routes = 0;                 ///< Number of routes of the last version.
+  std::size_t longest_version_bytes = 0;  ///< Size of the longest version.
+  Duration longest_lag{};                 ///< Longest lag of the soak's own timers.
 };
 
 class Soak {
  public:
-  /// Throws std::exception when addresses or files cannot be had.
+  /// Throws std::exception if an address cannot be bound or a file cannot be written.
   explicit Soak(SoakSettings settings);
   ~Soak();
   Soak(const Soak&) = delete;
   Soak& operator=(const Soak&) = delete;
 
-  /// Blocks until its end.
+  /// Runs the soak and blocks until its end.
   SoakOutcome run();
 
  private:
--- a/tests/platform/soak/suspend_clock.h
+++ b/tests/platform/soak/suspend_clock.h
@@ -1,12 +1,13 @@
 #pragma once
 
-/// How a suspended machine's clocks are brought about in a process that was only stopped.
+/// The signal that simulates the clocks of a suspended machine in a process that was only stopped.
 
 #include <csignal>
 
 namespace coursepond::soak {
 
-/// Tells a process, with a number of milliseconds, that its steady clock did not count them.
+/// Returns the signal whose integer value is the number of milliseconds by which the steady clock
+/// of the process is set back.
 inline int clockSignal() { return SIGRTMIN + 4; }
 
 }  // namespace coursepond::soak
--- a/tests/platform/soak/trouble_book.h
+++ b/tests/platform/soak/trouble_book.h
@@ -1,6 +1,7 @@
 #pragma once
 
-/// When which part of the mesh was in trouble, so that promises are checked in calm moments only.
+/// Records when each component of the mesh had a fault, so that promises are only checked at
+/// fault-free times.
 
 #include <map>
 #include <optional>
@@ -11,37 +12,37 @@
 
 namespace coursepond::soak {
 
-/// What a trouble touches besides the machine it is at.
-enum class TroubleKind {
-  kUnplanned,    ///< Kills, freezes, faults of links, and a process's start.
-  kPlannedStop,  ///< From SIGTERM to the process's end.
+/// Whether a fault is a planned stop, for which more is promised, or any other fault.
+enum class FaultKind {
+  kUnplanned,    ///< Kills, freezes, and faults of links, servers, the store and the soak itself.
+  kPlannedStop,  ///< From SIGTERM until the restart of the process, and the moment of each start.
 };
 
-class TroubleBook {
+class FaultLog {
  public:
-  /// A trouble that goes on until end() is called with the number that this returns.
-  std::size_t begin(const std::string& place, TroubleKind kind, TimePoint now);
-  void end(std::size_t trouble, TimePoint now);
+  /// Begins a fault and returns its number, with which end() has to be called.
+  std::size_t begin(const std::string& component, FaultKind kind, TimePoint now);
+  void end(std::size_t fault, TimePoint now);
 
-  /// Whether `place` had no trouble at any moment from `from` to `to`.
-  bool isCalm(const std::string& place, TimePoint from, TimePoint to) const;
-  /// The same, with planned stops left out of account.
-  bool isCalmButForStops(const std::string& place, TimePoint from, TimePoint to) const;
-  /// Whether `place` was in a planned stop at some moment from `from` to `to`.
-  bool wasStopping(const std::string& place, TimePoint from, TimePoint to) const;
+  /// Returns true if `component` had no fault at any time from `from` to `to`.
+  bool isFaultFree(const std::string& component, TimePoint from, TimePoint to) const;
+  /// Returns true if `component` had no fault except planned stops from `from` to `to`.
+  bool isFaultFreeExceptStops(const std::string& component, TimePoint from, TimePoint to) const;
+  /// Returns true if `component` was in a planned stop at any time from `from` to `to`.
+  bool wasStopping(const std::string& component, TimePoint from, TimePoint to) const;
 
  private:
-  struct Trouble {
-    TroubleKind kind;
+  struct Fault {
+    FaultKind kind;
     TimePoint began;
     std::optional<TimePoint> ended;
   };
 
-  bool has(const std::string& place, std::optional<TroubleKind> kind, TimePoint from,
+  bool has(const std::string& component, std::optional<FaultKind> kind, TimePoint from,
            TimePoint to) const;
 
-  std::vector<Trouble> troubles_;
-  std::map<std::string, std::vector<std::size_t>> by_place_;
+  std::vector<Fault> faults_;
+  std::map<std::string, std::vector<std::size_t>> by_component_;
 };
 
 }  // namespace coursepond::soak
--- a/tests/platform/soak/version_book.cpp
+++ b/tests/platform/soak/version_book.cpp
@@ -9,11 +9,11 @@
 using Json = nlohmann::json;
 
 constexpr std::size_t kBaseRoutesPerService = 2;
-/// Versions rise by uneven steps; any odd factor shows that.
+/// Version labels on the platform increase by uneven steps. Any odd factor tests this.
 constexpr std::size_t kVersionStep = 3;
-/// A removed marker is still asked for while it is among the last of these.
+/// Number of the most recently removed markers to which clients still send requests.
 constexpr std::size_t kRemovedMarkersKept = 5;
-constexpr int kMostAttempts = 3;
+constexpr int kMaxAttempts = 3;
 
 Json resource(const char* kind, const std::string& name, Json spec) {
   return {{"entry_type", kind}, {"metadata", {{"name", name}}}, {"spec", std::move(spec)}};
@@ -27,13 +27,13 @@
                    {"timeout", "3s"},
                    {"target_latency", "800ms"},
                    {"priority", 0},
-                   {"max_attempts", kMostAttempts},
+                   {"max_attempts", kMaxAttempts},
                    {"service", route.service}});
 }
 
 }  // namespace
 
-VersionBook::VersionBook(std::vector<std::string> services) : services_(std::move(services)) {
+VersionHistory::VersionHistory(std::vector<std::string> services) : services_(std::move(services)) {
   for (const std::string& service : services_) {
     for (std::size_t turn = 0; turn < kBaseRoutesPerService; ++turn) {
       Route route;
@@ -47,11 +47,11 @@
   base_count_ = routes_.size();
 }
 
-std::string VersionBook::label(std::size_t version) {
+std::string VersionHistory::label(std::size_t version) {
   return "r" + std::to_string((version + 1) * kVersionStep);
 }
 
-std::size_t VersionBook::addRoute(const std::string& prefix, std::size_t version) {
+std::size_t VersionHistory::addRoute(const std::string& prefix, std::size_t version) {
   Route route;
   route.name = prefix + std::to_string(routes_.size());
   route.path_prefix = "/" + route.name + "/";
@@ -62,7 +62,7 @@
   return routes_.size() - 1;
 }
 
-void VersionBook::prepare(std::size_t added, std::size_t removed) {
+void VersionHistory::prepare(std::size_t added, std::size_t removed) {
   const std::size_t version = count();
   const std::size_t gone = std::min(removed, live_.size());
   for (std::size_t index = 0; index < gone; ++index) {
@@ -80,7 +80,7 @@
   markers_.push_back(addRoute("marker", version));
 }
 
-std::string VersionBook::text() const {
+std::string VersionHistory::text() const {
   Json resources = Json::array();
   for (const std::string& service : services_) {
     resources.push_back(resource("services", service, {{"max_connections", 200}}));
@@ -97,19 +97,19 @@
   return Json{{"version", label(count())}, {"resources", std::move(resources)}}.dump();
 }
 
-void VersionBook::acknowledge(TimePoint now) { acknowledged_at_.push_back(now); }
+void VersionHistory::acknowledge(TimePoint now) { acknowledged_at_.push_back(now); }
 
-std::optional<std::size_t> VersionBook::newestAt(TimePoint when) const {
+std::optional<std::size_t> VersionHistory::newestAt(TimePoint when) const {
   const auto after = std::upper_bound(acknowledged_at_.begin(), acknowledged_at_.end(), when);
   if (after == acknowledged_at_.begin()) return std::nullopt;
   return static_cast<std::size_t>(after - acknowledged_at_.begin()) - 1;
 }
 
-bool VersionBook::someHas(VersionSpan span, const Route& route) const {
+bool VersionHistory::anyHas(VersionSpan span, const Route& route) const {
   return route.added <= span.last && (!route.removed || *route.removed > span.first);
 }
 
-bool VersionBook::someLacks(VersionSpan span, const Route& route) const {
+bool VersionHistory::anyLacks(VersionSpan span, const Route& route) const {
   return route.added > span.first || (route.removed && *route.removed <= span.last);
 }
 
--- a/tests/platform/soak/version_book.h
+++ b/tests/platform/soak/version_book.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The operator's side of a soak: routes that come and go with versions, and which versions can be
-/// in force at a moment.
+/// The versions that the operator writes during a soak: which routes each version has, and which
+/// version was the newest at a given time.
 
 #include <cstdint>
 #include <optional>
@@ -12,7 +12,7 @@
 
 namespace coursepond::soak {
 
-/// One route, in all versions from `added` to before `removed`.
+/// A route. It is part of all versions from `added` (inclusive) to `removed` (exclusive).
 struct Route {
   std::string name;
   std::string path_prefix;
@@ -22,41 +22,43 @@
   std::optional<std::size_t> removed;
 };
 
-/// Versions by their place in the order of acknowledgement, both ends included.
+/// A range of versions, numbered in the order of acknowledgement. Both ends are included.
 struct VersionSpan {
   std::size_t first = 0;
   std::size_t last = 0;
 };
 
-class VersionBook {
+class VersionHistory {
  public:
-  explicit VersionBook(std::vector<std::string> services);
+  explicit VersionHistory(std::vector<std::string> services);
 
-  /// One more version: `added` new routes (one is always a marker) and, of the oldest bulk and
-  /// marker routes, `removed` fewer. It counts as written once acknowledge() is called.
+  /// Prepares the next version. It has `added` new routes, of which at least one is a marker, and
+  /// lacks the `removed` oldest bulk and marker routes. It counts as written when acknowledge() is
+  /// called.
   void prepare(std::size_t added, std::size_t removed);
-  /// The text of the version that was prepared, as the store holds it.
+  /// Returns the text of the prepared version as it is written to the store.
   std::string text() const;
   void acknowledge(TimePoint now);
 
   std::size_t count() const { return acknowledged_at_.size(); }
   std::size_t routeCount() const { return live_.size() + base_count_; }
   TimePoint acknowledgedAt(std::size_t version) const { return acknowledged_at_.at(version); }
-  /// "r12" as the store names it.
+  /// Returns the label of a version in the store, such as "r12".
   static std::string label(std::size_t version);
 
-  /// All routes ever, by number. The first ones are there in every version.
+  /// Returns a route of any version by its number. The first baseCount() routes are in every
+  /// version.
   const Route& route(std::size_t number) const { return routes_.at(number); }
   std::size_t baseCount() const { return base_count_; }
-  /// The newest markers, newest last, and the ones removed last.
+  /// Current markers with the newest last, and the most recently removed markers.
   const std::vector<std::size_t>& markers() const { return markers_; }
   const std::vector<std::size_t>& removedMarkers() const { return removed_markers_; }
 
-  /// The newest version that was acknowledged at `when`, or nothing.
+  /// Returns the newest version that was acknowledged at `when`, or nothing if there was none.
   std::optional<std::size_t> newestAt(TimePoint when) const;
-  /// Whether some version of the span has the route; whether some has not.
-  bool someHas(VersionSpan span, const Route& route) const;
-  bool someLacks(VersionSpan span, const Route& route) const;
+  /// Returns true if any version of the span has (or lacks) the route.
+  bool anyHas(VersionSpan span, const Route& route) const;
+  bool anyLacks(VersionSpan span, const Route& route) const;
 
  private:
   std::size_t addRoute(const std::string& prefix, std::size_t version);
@@ -64,7 +66,7 @@
   std::vector<std::string> services_;
   std::vector<Route> routes_;
   std::size_t base_count_ = 0;
-  std::vector<std::size_t> live_;  ///< Routes beyond the base of the newest version, oldest first.
+  std::vector<std::size_t> live_;  ///< Non-base routes of the newest version, oldest first.
   std::vector<std::size_t> markers_;
   std::vector<std::size_t> removed_markers_;
   std::vector<TimePoint> acknowledged_at_;
--- a/tests/platform/soak/wire.h
+++ b/tests/platform/soak/wire.h
@@ -1,7 +1,7 @@
 #pragma once
 
-/// The platform's header names, and parameters of a target, as the soak's own clients and back ends
-/// use them.
+/// Header names of the platform and query parameters that the clients and back ends of the soak
+/// use.
 
 #include <charconv>
 #include <cstdint>
@@ -18,7 +18,7 @@
 inline constexpr char kTargetInstance[] = "Coursepond-Target-Instance";
 inline constexpr char kInstance[] = "Coursepond-Instance-Id";
 
-/// The number after "name=" in a query; zero when there is none.
+/// Returns the number after "name=" in the query, or 0 if there is none.
 inline std::uint64_t numberIn(std::string_view query, std::string_view name) {
   const std::size_t start = query.find(std::string(name) + "=");
   if (start == std::string_view::npos) return 0;
--- a/tests/platform/soak_parts_test.cpp
+++ b/tests/platform/soak_parts_test.cpp
@@ -1,4 +1,4 @@
-// Tests of the soak's own parts. A judge that misses violations would let every run pass.
+// Tests of the parts of the soak. A checker that misses violations would let every run pass.
 
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -20,29 +20,29 @@
 /// Number of the loopback network of this process, so that two concurrent runs do not collide.
 std::uint32_t network() { return 1 + static_cast<std::uint32_t>(getpid()) % 255; }
 
-/// A judge with one machine, whose process and server are never started. Times are relative to the
-/// judge's origin.
-class JudgeBench : public testing::LoopbackBench {
+/// A promise checker with one machine, whose process and server are never started. Times are
+/// relative to origin().
+class CheckerBench : public testing::LoopbackBench {
  public:
-  JudgeBench()
+  CheckerBench()
       : environment_(context_),
         store_(context_),
         versions_({"stock"}),
-        judge_(Bounds(), ledger_, versions_, troubles_, machines_, origin()) {
-    Surroundings surroundings{context_,
-                              environment_,
-                              store_,
-                              ledger_,
-                              troubles_,
-                              [](const auto&, const auto&, const auto&) {},
-                              [](std::uint64_t) {},
-                              [](const auto&, const auto&) {},
-                              [](const auto&) {}};
+        checker_(Bounds(), ledger_, versions_, faults_, machines_, origin()) {
+    SoakContext soak{context_,
+                     environment_,
+                     store_,
+                     ledger_,
+                     faults_,
+                     [](const auto&, const auto&, const auto&) {},
+                     [](std::uint64_t) {},
+                     [](const auto&, const auto&) {},
+                     [](const auto&) {}};
     MachineSettings settings;
     settings.name = "m1";
     settings.service = "stock";
     settings.network = network();
-    machines_.push_back(std::make_unique<Machine>(surroundings, settings));
+    machines_.push_back(std::make_unique<Machine>(soak, settings));
   }
 
   static TimePoint origin() { return TimePoint(seconds(1000)); }
@@ -57,7 +57,7 @@
     Request request;
     request.id = "r" + std::to_string(ledger_.all().size());
     request.machine = "m1";
-    request.node_life = 1;
+    request.node_incarnation = 1;
     request.route = route;
     request.is_repeatable = versions_.route(route).is_repeatable;
     request.sent = at(sent_ms);
@@ -65,41 +65,41 @@
     request.deadline = seconds(2);
     request.end = RequestEnd::kAnswered;
     request.status = status;
-    request.is_servers_own = status == 200;
+    request.is_from_server = status == 200;
     return *ledger_.open(std::move(request));
   }
   void addRun(Request& request, bool was_cut) {
     request.runs.push_back({"i-1", "m1", request.sent, request.ended, was_cut});
   }
-  std::vector<std::string> judged(const Request& request) {
-    const std::size_t before = judge_.violations().size();
-    judge_.onEnd(request);
-    judge_.judgeEnded(at(1'000'000));
+  std::vector<std::string> violationsOf(const Request& request) {
+    const std::size_t before = checker_.violations().size();
+    checker_.onEnd(request);
+    checker_.checkEnded(at(1'000'000));
     return kindsFrom(before);
   }
-  std::vector<std::string> judgedAll() {
-    const std::size_t before = judge_.violations().size();
-    judge_.judgeAll();
+  std::vector<std::string> violationsOfAll() {
+    const std::size_t before = checker_.violations().size();
+    checker_.checkAll();
     return kindsFrom(before);
   }
-  void crash(std::int64_t ms) { judge_.onCrash(kCrasher, at(ms)); }
+  void crash(std::int64_t ms) { checker_.onCrash(kCrasher, at(ms)); }
   /// Makes a crashing request that was sent at m1 arrive at the server there.
-  std::vector<std::string> arrived(std::int64_t ms) {
+  std::vector<std::string> violationsOnArrival(std::int64_t ms) {
     Request& request = addRequest(0, ms, 502);
     request.crasher = kCrasher;
-    const std::size_t before = judge_.violations().size();
-    judge_.onArrival(*machines_.front(), "i-1", request.id, &request, at(ms));
+    const std::size_t before = checker_.violations().size();
+    checker_.onArrival(*machines_.front(), "i-1", request.id, &request, at(ms));
     return kindsFrom(before);
   }
   static constexpr std::uint64_t kCrasher = 1;
-  TroubleBook& troubles() { return troubles_; }
+  FaultLog& faults() { return faults_; }
   std::size_t newestMarker() const { return versions_.markers().back(); }
 
  private:
   std::vector<std::string> kindsFrom(std::size_t first) const {
     std::vector<std::string> kinds;
-    for (std::size_t index = first; index < judge_.violations().size(); ++index) {
-      kinds.push_back(judge_.violations()[index].kind);
+    for (std::size_t index = first; index < checker_.violations().size(); ++index) {
+      kinds.push_back(checker_.violations()[index].kind);
     }
     return kinds;
   }
@@ -107,10 +107,10 @@
   runtime::AsioEnvironment environment_;
   platform::StoreStandIn store_;
   Ledger ledger_;
-  TroubleBook troubles_;
-  VersionBook versions_;
-  Judge::Machines machines_;
-  Judge judge_;
+  FaultLog faults_;
+  VersionHistory versions_;
+  PromiseChecker::Machines machines_;
+  PromiseChecker checker_;
 };
 
 using Kinds = std::vector<std::string>;
@@ -121,105 +121,106 @@
 }  // namespace
 
 TEST_CASE(
-    "a request that continues to crash servers is a violation, on machines without trouble only") {
-  JudgeBench bench;
+    "a request that continues to crash servers is a violation, on machines without faults only") {
+  CheckerBench bench;
   bench.writeVersion(0, 0, 0);
   bench.crash(10'000);
   bench.crash(20'000);
-  for (int count = 0; count < 10; ++count) CHECK(bench.arrived(25'000 + count).empty());
+  for (int count = 0; count < 10; ++count) CHECK(bench.violationsOnArrival(25'000 + count).empty());
   bench.crash(30'000);
   // Within `contact` (3 s), not all nodes can know of the crash.
-  for (int count = 0; count < 10; ++count) CHECK(bench.arrived(32'000 + count).empty());
-  bench.troubles().end(bench.troubles().begin("m1", TroubleKind::kUnplanned, bench.at(33'000)),
-                       bench.at(34'000));
-  for (int count = 0; count < 10; ++count) CHECK(bench.arrived(36'000 + count).empty());
-  for (int count = 0; count < 3; ++count) CHECK(bench.arrived(40'000 + count).empty());
-  CHECK(bench.arrived(41'000) == Kinds{"crashes_on"});
+  for (int count = 0; count < 10; ++count) CHECK(bench.violationsOnArrival(32'000 + count).empty());
+  bench.faults().end(bench.faults().begin("m1", FaultKind::kUnplanned, bench.at(33'000)),
+                     bench.at(34'000));
+  for (int count = 0; count < 10; ++count) CHECK(bench.violationsOnArrival(36'000 + count).empty());
+  for (int count = 0; count < 3; ++count) CHECK(bench.violationsOnArrival(40'000 + count).empty());
+  CHECK(bench.violationsOnArrival(41'000) == Kinds{"crashes_on"});
 }
 
 TEST_CASE(
-    "a version that is not in force after its bound is a violation, on machines without trouble "
+    "a version that is not in force after its bound is a violation, on machines without faults "
     "only") {
-  JudgeBench bench;
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
   bench.writeVersion(10'000, 1, 0);
   const std::size_t added = bench.newestMarker();
-  CHECK(bench.judged(bench.addRequest(added, 11'900, 404)).empty());
-  CHECK(bench.judged(bench.addRequest(added, 12'100, 404)) == Kinds{"version_late"});
-  bench.troubles().end(bench.troubles().begin("m1", TroubleKind::kUnplanned, bench.at(12'500)),
-                       bench.at(13'000));
-  CHECK(bench.judged(bench.addRequest(added, 15'900, 404)).empty());
-  CHECK(bench.judged(bench.addRequest(added, 16'100, 404)) == Kinds{"version_late"});
+  CHECK(bench.violationsOf(bench.addRequest(added, 11'900, 404)).empty());
+  CHECK(bench.violationsOf(bench.addRequest(added, 12'100, 404)) == Kinds{"version_late"});
+  bench.faults().end(bench.faults().begin("m1", FaultKind::kUnplanned, bench.at(12'500)),
+                     bench.at(13'000));
+  CHECK(bench.violationsOf(bench.addRequest(added, 15'900, 404)).empty());
+  CHECK(bench.violationsOf(bench.addRequest(added, 16'100, 404)) == Kinds{"version_late"});
 }
 
 TEST_CASE("a removed route that is still served and a base route that is not are violations") {
-  JudgeBench bench;
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
   const std::size_t removed = bench.newestMarker();
   bench.writeVersion(10'000, 1, 1);
-  CHECK(bench.judged(bench.addRequest(removed, 11'000, 200)).empty());
-  CHECK(bench.judged(bench.addRequest(removed, 12'100, 200)) == Kinds{"version_late"});
-  CHECK(bench.judged(bench.addRequest(kReadRoute, 100, 404)) == Kinds{"denied"});
+  CHECK(bench.violationsOf(bench.addRequest(removed, 11'000, 200)).empty());
+  CHECK(bench.violationsOf(bench.addRequest(removed, 12'100, 200)) == Kinds{"version_late"});
+  CHECK(bench.violationsOf(bench.addRequest(kReadRoute, 100, 404)) == Kinds{"denied"});
 }
 
 TEST_CASE(
-    "a version that goes back within a node's life is a violation, even where no bound holds") {
-  JudgeBench bench;
+    "a version that goes back within the lifetime of a node process is a violation, even where no "
+    "bound holds") {
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
   bench.writeVersion(10'000, 1, 0);
   const std::size_t added = bench.newestMarker();
-  bench.troubles().begin("m1", TroubleKind::kUnplanned, bench.at(9'000));
-  CHECK(bench.judged(bench.addRequest(added, 10'100, 200)).empty());
-  CHECK(bench.judged(bench.addRequest(added, 11'000, 404)).empty());
-  CHECK(bench.judged(bench.addRequest(added, 12'400, 404)) == Kinds{"version_went_back"});
-  Request& other_life = bench.addRequest(added, 12'500, 404);
-  other_life.node_life = 2;
-  CHECK(bench.judged(other_life).empty());
+  bench.faults().begin("m1", FaultKind::kUnplanned, bench.at(9'000));
+  CHECK(bench.violationsOf(bench.addRequest(added, 10'100, 200)).empty());
+  CHECK(bench.violationsOf(bench.addRequest(added, 11'000, 404)).empty());
+  CHECK(bench.violationsOf(bench.addRequest(added, 12'400, 404)) == Kinds{"version_went_back"});
+  Request& other_incarnation = bench.addRequest(added, 12'500, 404);
+  other_incarnation.node_incarnation = 2;
+  CHECK(bench.violationsOf(other_incarnation).empty());
 }
 
 TEST_CASE("an unrepeatable request that runs twice or despite its refusal is a violation") {
-  JudgeBench bench;
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
   Request& refused = bench.addRequest(kWriteRoute, 100, 503);
-  CHECK(bench.judgedAll().empty());
+  CHECK(bench.violationsOfAll().empty());
   bench.addRun(refused, true);
-  CHECK(bench.judgedAll() == Kinds{"refused_but_ran"});
+  CHECK(bench.violationsOfAll() == Kinds{"refused_but_ran"});
   refused.status = 502;
-  CHECK(bench.judgedAll().empty());
+  CHECK(bench.violationsOfAll().empty());
   bench.addRun(refused, true);
-  CHECK(bench.judgedAll() == Kinds{"ran_twice"});
+  CHECK(bench.violationsOfAll() == Kinds{"ran_twice"});
 }
 
-TEST_CASE("a request cut by a planned stop is a violation, unless other trouble excuses it") {
-  JudgeBench bench;
+TEST_CASE("a request cut by a planned stop is a violation, unless another fault excuses it") {
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
-  bench.troubles().begin("m1", TroubleKind::kPlannedStop, bench.at(9'900));
+  bench.faults().begin("m1", FaultKind::kPlannedStop, bench.at(9'900));
   Request& cut = bench.addRequest(kReadRoute, 10'000, 0);
   cut.end = RequestEnd::kCut;
-  CHECK(bench.judged(cut).empty());  // Not forwarded, and within the slack.
+  CHECK(bench.violationsOf(cut).empty());  // Not forwarded, and within the slack.
   bench.addRun(cut, true);
-  CHECK(bench.judged(cut) == Kinds{"cut_by_stop"});
+  CHECK(bench.violationsOf(cut) == Kinds{"cut_by_stop"});
   Request& broken_off = bench.addRequest(kReadRoute, 10'000, 502);
-  CHECK(bench.judged(broken_off).empty());
+  CHECK(bench.violationsOf(broken_off).empty());
   bench.addRun(broken_off, true);
-  CHECK(bench.judged(broken_off) == Kinds{"broken_off_by_stop"});
-  bench.troubles().end(bench.troubles().begin("m1", TroubleKind::kUnplanned, bench.at(8'000)),
-                       bench.at(8'100));
-  CHECK(bench.judged(cut).empty());
+  CHECK(bench.violationsOf(broken_off) == Kinds{"broken_off_by_stop"});
+  bench.faults().end(bench.faults().begin("m1", FaultKind::kUnplanned, bench.at(8'000)),
+                     bench.at(8'100));
+  CHECK(bench.violationsOf(cut).empty());
 }
 
-TEST_CASE("a failed request and a held one are violations when there is no trouble") {
-  JudgeBench bench;
+TEST_CASE("a failed request and a held one are violations when there is no fault") {
+  CheckerBench bench;
   bench.writeVersion(0, 1, 0);
   Request& failed = bench.addRequest(kReadRoute, 10'000, 502);
-  CHECK(bench.judged(failed) == Kinds{"failed_when_calm"});
+  CHECK(bench.violationsOf(failed) == Kinds{"failed_when_calm"});
   Request& held = bench.addRequest(kReadRoute, 10'000, 0);
   held.end = RequestEnd::kGivenUp;
   held.ended = bench.at(13'000);
-  CHECK(bench.judged(held) == Kinds{"held"});
-  bench.troubles().begin("store", TroubleKind::kUnplanned, bench.at(9'000));
-  CHECK(bench.judged(failed).empty());
-  CHECK(bench.judged(held).empty());
+  CHECK(bench.violationsOf(held) == Kinds{"held"});
+  bench.faults().begin("store", FaultKind::kUnplanned, bench.at(9'000));
+  CHECK(bench.violationsOf(failed).empty());
+  CHECK(bench.violationsOf(held).empty());
 }
 
 TEST_CASE("the same seed gives the same schedule, and another seed another one") {
