--- a/tests/platform/soak_clock/suspend_clock.cpp
+++ b/tests/platform/soak_clock/suspend_clock.cpp
@@ -1,6 +1,7 @@
-/// Loaded into the nodes of a soak: a steady clock that can be held, as that of a suspended machine
-/// is. CLOCK_BOOTTIME and the time of day go on, as they do there. What the node's timers wait for
-/// in the kernel goes on too: they go off in time, and the node's own clock decides what is due.
+/// A library that is preloaded into the nodes of a soak. It replaces CLOCK_MONOTONIC by a clock
+/// that can be set back, because the steady clock of a suspended machine stands still.
+/// CLOCK_BOOTTIME and the time of day continue, as they do on such a machine. Kernel timers
+/// continue too: they expire on time, and the clock of the node decides what is due.
 
 #include "../soak/suspend_clock.h"
 
@@ -16,15 +17,16 @@
 constexpr std::int64_t kNanosecondsPerSecond = 1'000'000'000;
 constexpr std::int64_t kNanosecondsPerMillisecond = 1'000'000;
 
-std::atomic<std::int64_t> held_ns{0};
+/// Total time in nanoseconds that the steady clock has not counted.
+std::atomic<std::int64_t> suspended_ns{0};
 
-void hold(int, siginfo_t* information, void*) {
-  held_ns += information->si_value.sival_int * kNanosecondsPerMillisecond;
+void addSuspension(int, siginfo_t* information, void*) {
+  suspended_ns += information->si_value.sival_int * kNanosecondsPerMillisecond;
 }
 
-__attribute__((constructor)) void listen() {
+__attribute__((constructor)) void installHandler() {
   struct sigaction action {};
-  action.sa_sigaction = hold;
+  action.sa_sigaction = addSuspension;
   action.sa_flags = SA_SIGINFO | SA_RESTART;
   sigaction(coursepond::soak::clockSignal(), &action, nullptr);
 }
@@ -34,8 +36,9 @@
 extern "C" int clock_gettime(clockid_t clock, struct timespec* time) noexcept {
   const long status = syscall(SYS_clock_gettime, clock, time);
   if (status != 0 || clock != CLOCK_MONOTONIC) return static_cast<int>(status);
-  const std::int64_t told = time->tv_sec * kNanosecondsPerSecond + time->tv_nsec - held_ns;
-  time->tv_sec = told / kNanosecondsPerSecond;
-  time->tv_nsec = told % kNanosecondsPerSecond;
+  const std::int64_t reported_ns =
+      time->tv_sec * kNanosecondsPerSecond + time->tv_nsec - suspended_ns;
+  time->tv_sec = reported_ns / kNanosecondsPerSecond;
+  time->tv_nsec = reported_ns % kNanosecondsPerSecond;
   return 0;
 }
--- a/tests/suspension/suspension_test.cpp
+++ b/tests/suspension/suspension_test.cpp
@@ -12,11 +12,11 @@
 #include "runtime/http_client.h"
 #include "runtime/http_server.h"
 
-// The story of the failure. Operators suspend machines for seconds, and a machine that is back
-// still believed what it had known before: its clock had not counted the time. What other machines
-// count as well (how long a version or an entry was not confirmed, how long a server is avoided or
-// a request has left, when a loan or a kept connection ends) was older than it took it to be.
-// Cause: every time was read off the steady clock, which stands still with the machine.
+// Guards against a resumed machine that treats stale state as fresh. Operators suspend machines for
+// seconds. If all times are read from the steady clock, which stands still during a suspension, the
+// machine does not count this time, although other machines do. It then underestimates the age of
+// unconfirmed versions and entries, and overestimates how long a server is still avoided, how much
+// time a request has left, and when a lease or an idle connection expires.
 
 namespace coursepond::runtime {
 namespace {
@@ -24,7 +24,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Nothing runs for so long, and the steady clock does not count it.
+/// Simulates a suspension: nothing runs for `length`, and the steady clock does not count it.
 void suspendMachine(milliseconds length) {
   std::this_thread::sleep_for(length);
   sigval lost{};
@@ -32,7 +32,7 @@
   sigqueue(getpid(), soak::clockSignal(), lost);
 }
 
-/// Something with a deadline, which notes that it passed.
+/// Watched object that records that its deadline has passed.
 class Expiring final : public Watched {
  public:
   Expiring(std::shared_ptr<DeadlineWatch> watch, Duration delay) : Watched(std::move(watch)) {
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-TEST_CASE("the time that a machine was suspended counts") {
+TEST_CASE("the environment's clock counts the time for which the machine was suspended") {
   boost::asio::io_context context;
   const AsioEnvironment environment(context);
   const TimePoint before = environment.now();
@@ -54,7 +54,7 @@
   CHECK(environment.now() - before >= milliseconds(300));
 }
 
-TEST_CASE("what fell due while the machine was suspended runs at once") {
+TEST_CASE("a timer that expired while the machine was suspended runs as soon as it resumes") {
   boost::asio::io_context context;
   AsioEnvironment environment(context);
   bool has_run = false;
@@ -64,7 +64,7 @@
   CHECK(has_run);
 }
 
-TEST_CASE("a connection's time runs out while the machine is suspended") {
+TEST_CASE("a connection deadline expires while the machine is suspended") {
   boost::asio::io_context context;
   const auto watch = std::make_shared<DeadlineWatch>(context, milliseconds(10));
   const Expiring expiring(watch, milliseconds(250));
@@ -73,7 +73,7 @@
   CHECK(expiring.has_expired);
 }
 
-TEST_CASE("a connection that was kept over a suspension is not used again") {
+TEST_CASE("an idle connection that expired during a suspension is not reused") {
   boost::asio::io_context context;
   std::vector<std::uint16_t> ports;
   const auto server = HttpServer::create(context, {"127.0.0.1", 0}, {},
