--- a/bench/data_path/scenarios.cpp
+++ b/bench/data_path/scenarios.cpp
@@ -45,9 +45,9 @@
   const double slots = ServerShape().slots;
   Policy random{"random, no limit search", {}};
   random.settings.balancer.cost_tolerance = kNoPreference;
-  random.settings.concurrency.lowest_limit = slots;
+  random.settings.concurrency.min_limit = slots;
   Policy two_choices{"two choices, no limit search", {}};
-  two_choices.settings.concurrency.lowest_limit = slots;
+  two_choices.settings.concurrency.min_limit = slots;
   Policy no_reports{"two choices and limit search, reports unused", {}};
   no_reports.settings.concurrency.full_report_load = 2;
   return {random, two_choices, no_reports, Policy{"two choices and limit search (default)", {}}};
--- a/bench/data_path/two_hop_fleet.cpp
+++ b/bench/data_path/two_hop_fleet.cpp
@@ -495,7 +495,7 @@
       node.speed = shape.speeds[random_.below(shape.speeds.size())];
       node.ingress.setServer(entry);
       node.ingress.setService(serviceOf(entry.service, policy));
-      node.ingress.onHealthWanted([this, &node] { probeHealth(node); });
+      node.ingress.onHealthCheckNeeded([this, &node] { probeHealth(node); });
       node.ingress.onHealth({entry.id.value(), Duration(0)});
       node_of_server_[entry.id] = index;
       entries.push_back(entry);
--- a/src/admission/crash_suspects.cpp
+++ b/src/admission/crash_suspects.cpp
@@ -55,7 +55,8 @@
   return now >= nextTrialAt(found->second) ? CrashVerdict::kTrialOnly : CrashVerdict::kMayNotRun;
 }
 
-std::optional<Duration> CrashSuspects::trialIn(RequestFingerprint request, TimePoint now) const {
+std::optional<Duration> CrashSuspects::timeUntilTrial(RequestFingerprint request,
+                                                      TimePoint now) const {
   const auto found = records_.find(request);
   if (found == records_.end()) return Duration(0);
   const TimePoint due = nextTrialAt(found->second);
--- a/src/admission/crash_suspects.h
+++ b/src/admission/crash_suspects.h
@@ -76,7 +76,7 @@
 
   CrashVerdict verdict(RequestFingerprint request, TimePoint now) const;
   /// Returns the time until a trial is allowed, or nothing if no further trial is.
-  std::optional<Duration> trialIn(RequestFingerprint request, TimePoint now) const;
+  std::optional<Duration> timeUntilTrial(RequestFingerprint request, TimePoint now) const;
   /// Returns the number of server ends of the request in its current round.
   std::size_t ends(RequestFingerprint request) const;
 
--- a/src/admission/quota.h
+++ b/src/admission/quota.h
@@ -27,7 +27,7 @@
 inline constexpr Duration kLeaseTime = std::chrono::seconds(1);
 
 /// A node asks the owner of a tenant's quota for tokens.
-struct QuotaAsk {
+struct QuotaRequest {
   TenantName tenant;
   std::string asker;         ///< IP address of the asking machine.
   double needed = 1;         ///< Tokens for requests that are waiting.
@@ -36,19 +36,19 @@
   bool is_stand_in = false;  ///< The owner did not answer, and the asked node stands in for it.
 };
 
-/// The owner's answer to a QuotaAsk.
+/// The owner's answer to a QuotaRequest.
 struct QuotaGrant {
   double tokens = 0;
   Duration wait{};  ///< Time until the asker may ask for more.
 };
 
-/// Sends a QuotaAsk to another node. The callback is called exactly once, never from inside ask(),
-/// and with an error if no answer arrives in time.
+/// Sends a QuotaRequest to another node. The callback is called exactly once, never from inside
+/// ask(), and with an error if no answer arrives in time.
 class QuotaPeers {
  public:
   using Callback = std::function<void(const Result<QuotaGrant>& grant)>;
   virtual ~QuotaPeers() = default;
-  virtual void ask(const std::string& host, const QuotaAsk& ask, Callback callback) = 0;
+  virtual void ask(const std::string& host, const QuotaRequest& ask, Callback callback) = 0;
 };
 
 /// Refill rate in tokens per second.
--- a/src/admission/quota_accounts.cpp
+++ b/src/admission/quota_accounts.cpp
@@ -53,14 +53,14 @@
   if (now < account.refused_until) return countVerdict(false);
   if (account.is_asking) {
     account.waiters.push_back(&waiter);
-    return QuotaVerdict::kAsked;
+    return QuotaVerdict::kPending;
   }
   const std::optional<Owner> owner = ownerFor(tenant.name, now);
   if (!owner) return countVerdict(passesByShare(account, now));
   account.waiters.push_back(&waiter);
   if (owner->host != own_host_) {
     askPeer(tenant.name, account, *owner, now);
-    return QuotaVerdict::kAsked;
+    return QuotaVerdict::kPending;
   }
   borrowFromOwnPool(tenant.name, account, *owner, now);
   account.waiters.pop_back();
@@ -117,7 +117,7 @@
 /// stream of requests equals its rate.
 void QuotaAccounts::countDemand(Account& account, TimePoint now) const {
   const double per_request = std::numbers::ln2 / toSeconds(kDemandHalfLife);
-  account.demand *= leftAfter(now - account.counted_at, kDemandHalfLife);
+  account.demand *= decayFactor(now - account.counted_at, kDemandHalfLife);
   account.demand += per_request;
   account.counted_at = now;
 }
@@ -134,7 +134,7 @@
   account.even_share.fill(rate, depth, now);
   const double tokens = account.even_share.tokens();
   account.even_share.take(std::min(tokens, 1.0));
-  return tokens >= 1 || happens(environment_, tokens);
+  return tokens >= 1 || randomBool(environment_, tokens);
 }
 
 // ---- Owners
@@ -168,9 +168,9 @@
   return avoided != avoided_until_.end() && now < avoided->second;
 }
 
-QuotaAsk QuotaAccounts::makeAsk(const TenantName& tenant, Account& account, const Owner& owner,
-                                TimePoint now) const {
-  QuotaAsk ask;
+QuotaRequest QuotaAccounts::makeAsk(const TenantName& tenant, Account& account, const Owner& owner,
+                                    TimePoint now) const {
+  QuotaRequest ask;
   ask.tenant = tenant;
   ask.asker = own_host_;
   ask.needed = static_cast<double>(account.waiters.size());
@@ -253,7 +253,7 @@
   QuotaWaiter* const waiter = account.waiters.front();
   account.waiters.pop_front();
   countVerdict(may_pass);
-  waiter->onQuota(may_pass);
+  waiter->onQuotaChecked(may_pass);
 }
 
 }  // namespace coursepond::admission
--- a/src/admission/quota_accounts.h
+++ b/src/admission/quota_accounts.h
@@ -29,13 +29,13 @@
  public:
   virtual ~QuotaWaiter() = default;
   /// Called when the check is done. `may_pass` is false if the quota is exhausted.
-  virtual void onQuota(bool may_pass) = 0;
+  virtual void onQuotaChecked(bool may_pass) = 0;
 };
 
 enum class QuotaVerdict {
   kPasses,
   kRefused,
-  kAsked,  ///< Pending: the waiter's onQuota() will be called, unless it leaves first.
+  kPending,  ///< Pending: the waiter's onQuotaChecked() will be called, unless it leaves first.
 };
 
 /// Counters for /metrics. Never reset.
@@ -60,7 +60,7 @@
   void setNodes(std::size_t nodes) { nodes_ = nodes; }
 
   /// Takes a token for a request of the tenant, whose quota must be limited. `waiter` is only
-  /// stored if kAsked is returned, until its onQuota() is called or it leaves.
+  /// stored if kPending is returned, until its onQuotaChecked() is called or it leaves.
   QuotaVerdict take(const model::Tenant& tenant, QuotaWaiter& waiter);
   /// Removes a waiter that no longer needs an answer.
   void leave(QuotaWaiter& waiter);
@@ -101,8 +101,8 @@
   QuotaVerdict countVerdict(bool may_pass);
   std::optional<Owner> ownerFor(const TenantName& tenant, TimePoint now) const;
   bool isAvoided(const std::string& host, TimePoint now) const;
-  QuotaAsk makeAsk(const TenantName& tenant, Account& account, const Owner& owner,
-                   TimePoint now) const;
+  QuotaRequest makeAsk(const TenantName& tenant, Account& account, const Owner& owner,
+                       TimePoint now) const;
   void borrowFromOwnPool(const TenantName& tenant, Account& account, const Owner& owner,
                          TimePoint now);
   void askPeer(const TenantName& tenant, Account& account, const Owner& owner, TimePoint now);
--- a/src/admission/quota_pool.cpp
+++ b/src/admission/quota_pool.cpp
@@ -41,7 +41,7 @@
   next_sweep_ = now + kIdleTimeout;
 }
 
-QuotaGrant QuotaPool::lend(const model::Quota& quota, const QuotaAsk& ask, TimePoint now) {
+QuotaGrant QuotaPool::lend(const model::Quota& quota, const QuotaRequest& ask, TimePoint now) {
   TenantState& state = stateOf(ask.tenant, quota, now);
   state.last_asked = now;
   state.asked_at[ask.asker] = now;
@@ -54,7 +54,7 @@
 
   QuotaBucket& bucket = ask.is_stand_in ? state.unowned : state.owned;
   bucket.giveBack(std::clamp(ask.returned, 0.0, depthOf(quota)));
-  state.lent_ahead *= leftAfter(now - state.lent_at, kLentHalfLife);
+  state.lent_ahead *= decayFactor(now - state.lent_at, kLentHalfLife);
   state.lent_at = now;
   const double depth = share * depthOf(quota);
   bucket.fill(rate, std::max(1.0, depth - state.lent_ahead), now);
@@ -72,8 +72,8 @@
   if (!is_short) return grant;
   // The asker waits until the next token is available, and long enough that all askers together
   // stay within kAsksPerSecond.
-  const Duration for_token = inSeconds(std::max(0.0, 1 - bucket.tokens()) / rate);
-  const Duration for_turn = inSeconds(askers / kAsksPerSecond);
+  const Duration for_token = durationFromSeconds(std::max(0.0, 1 - bucket.tokens()) / rate);
+  const Duration for_turn = durationFromSeconds(askers / kAsksPerSecond);
   grant.wait = std::clamp(std::max(for_token, for_turn), kMinWait, kMaxWait);
   return grant;
 }
--- a/src/admission/quota_pool.h
+++ b/src/admission/quota_pool.h
@@ -22,7 +22,7 @@
   void setNodes(std::size_t nodes) { nodes_ = nodes; }
 
   /// Answers `ask` for a tenant with this quota, which must be limited.
-  QuotaGrant lend(const model::Quota& quota, const QuotaAsk& ask, TimePoint now);
+  QuotaGrant lend(const model::Quota& quota, const QuotaRequest& ask, TimePoint now);
 
   std::size_t tenants() const { return tenants_.size(); }
 
--- a/src/cli/request_story.cpp
+++ b/src/cli/request_story.cpp
@@ -117,17 +117,17 @@
 }
 
 std::string outcomeOf(const LogLine& line) {
-  if (line.event == proxy::decisionWord(proxy::DecisionKind::kForwarded)) {
+  if (line.event == proxy::decisionName(proxy::DecisionKind::kForwarded)) {
     return "the server's answer was forwarded";
   }
-  if (line.event == proxy::decisionWord(proxy::DecisionKind::kAnswerCut)) {
+  if (line.event == proxy::decisionName(proxy::DecisionKind::kAnswerCut)) {
     return "the server's answer ended early, and so did the answer to the caller";
   }
-  if (line.event == proxy::decisionWord(proxy::DecisionKind::kCallerGone)) {
+  if (line.event == proxy::decisionName(proxy::DecisionKind::kCallerGone)) {
     return "the caller disconnected; attempts in flight were cancelled";
   }
-  if (line.event == proxy::decisionWord(proxy::DecisionKind::kAttemptEnded) ||
-      line.event == proxy::decisionWord(proxy::DecisionKind::kRepeatDenied)) {
+  if (line.event == proxy::decisionName(proxy::DecisionKind::kAttemptEnded) ||
+      line.event == proxy::decisionName(proxy::DecisionKind::kRepeatDenied)) {
     return "an attempt ended; the outcome of the request is not in these logs";
   }
   const std::string_view status = valueOf(line, "status");
--- a/src/control/control_plane.cpp
+++ b/src/control/control_plane.cpp
@@ -186,7 +186,7 @@
 
 void ControlPlane::Implementation::start() {
   membership_.addZones(settings_.zones);
-  membership_.addHints(settings_.seeds);
+  membership_.setListedNodes(settings_.seeds);
   membership_.start();
   replica_.start();
   const Duration patience =
@@ -381,7 +381,7 @@
 }
 
 void ControlPlane::Implementation::onMachines(const model::MachineList& machines) {
-  membership_.addHints(machines.nodes);
+  membership_.setListedNodes(machines.nodes);
   replica_.updateEndpoints(machines.endpoint_sets);
 }
 
--- a/src/distribution/codec.cpp
+++ b/src/distribution/codec.cpp
@@ -346,12 +346,12 @@
 }
 
 void read(FieldReader& fields, RecordPush& push) {
-  push.spread = fields.enumeration(Spread::kSecondTree);
+  push.spread = fields.enumeration(ForwardMode::kSecondTree);
   push.record = readRecord(fields);
 }
 
 void read(FieldReader& fields, ContentAnnouncement& announcement) {
-  announcement.spread = fields.enumeration(Spread::kSecondTree);
+  announcement.spread = fields.enumeration(ForwardMode::kSecondTree);
   announcement.content = readContentId(fields);
 }
 
@@ -389,7 +389,7 @@
 }
 
 void read(FieldReader& fields, EndpointPush& push) {
-  push.spread = fields.enumeration(Spread::kSecondTree);
+  push.spread = fields.enumeration(ForwardMode::kSecondTree);
   push.changes = fields.list(readEndpointChange);
 }
 
--- a/src/distribution/content_replication.cpp
+++ b/src/distribution/content_replication.cpp
@@ -34,7 +34,7 @@
 
   pending_spread_[content] = PendingSpread();
   if (spreading_paused_) {
-    pending_spread_[content].add(Spread::kZone);
+    pending_spread_[content].add(ForwardMode::kZone);
   } else {
     announce(content, peers_.originTargets());
   }
@@ -60,7 +60,7 @@
   wantFrom(from, content);
   // The content is not fetched because it is older than all contents being fetched.
   if (!complete(content) && !fetcher_.fetching(content)) return;
-  if (announcement.spread == Spread::kDirect) return;
+  if (announcement.spread == ForwardMode::kDirect) return;
 
   if (pending_spread_[content].add(announcement.spread) && complete(content)) spread(content);
 }
@@ -215,9 +215,9 @@
   if (spreading_paused_) return;
   const auto found = pending_spread_.find(content);
   if (found == pending_spread_.end()) return;
-  std::vector<Spread> due;
+  std::vector<ForwardMode> due;
   std::swap(due, found->second.due);
-  for (const Spread way : due) announce(content, peers_.targets(way));
+  for (const ForwardMode way : due) announce(content, peers_.targets(way));
 }
 
 void ContentReplication::announce(const ContentId& content,
--- a/src/distribution/endpoint_replication.cpp
+++ b/src/distribution/endpoint_replication.cpp
@@ -38,9 +38,9 @@
   for (const EndpointChange& change : push.changes) {
     if (apply(change, reissued, to_fetch)) applied.push_back(change);
   }
-  if (push.spread == Spread::kDirect) {
+  if (push.spread == ForwardMode::kDirect) {
     statistics_.repairs += applied.size();
-    if (warm_ && peers_.isDistributor()) this->push(peers_.targets(Spread::kZone), applied);
+    if (warm_ && peers_.isDistributor()) this->push(peers_.targets(ForwardMode::kZone), applied);
   } else {
     this->push(peers_.targets(push.spread), changesToForward(push));
   }
@@ -79,7 +79,7 @@
   std::vector<EndpointKey> newer_there;
   newer_there.reserve(theirs.size());
   for (const auto& [key, generation] : theirs) newer_there.push_back(key);
-  push({{from, Spread::kDirect}}, newer_here);
+  push({{from, ForwardMode::kDirect}}, newer_here);
   fetch(from, newer_there);
 }
 
@@ -88,7 +88,7 @@
   for (const EndpointKey& key : fetch.keys) {
     if (std::optional<EndpointChange> set = store_.fullSet(key)) sets.push_back(std::move(*set));
   }
-  push({{from, Spread::kDirect}}, sets);
+  push({{from, ForwardMode::kDirect}}, sets);
 }
 
 void EndpointReplication::beginRepair(const NodeId& peer) {
@@ -99,7 +99,7 @@
 
 void EndpointReplication::pushEverywhere(const std::vector<EndpointChange>& changes) {
   push(peers_.remoteZoneTargets(), changes);
-  if (!peers_.isDistributor()) return push(peers_.targets(Spread::kZone), changes);
+  if (!peers_.isDistributor()) return push(peers_.targets(ForwardMode::kZone), changes);
 
   std::vector<EndpointChange> own_half;
   std::vector<EndpointChange> other_half;
@@ -109,9 +109,9 @@
   }
   std::vector<PushTarget> other_root;
   for (const NodeId& node : peers_.otherLocalDistributors()) {
-    other_root.push_back({node, Spread::kZone});
+    other_root.push_back({node, ForwardMode::kZone});
   }
-  push(peers_.targets(Spread::kZone), own_half);
+  push(peers_.targets(ForwardMode::kZone), own_half);
   push(other_root, other_half);
 }
 
@@ -159,7 +159,7 @@
   for (const EndpointChange& change : push.changes) {
     // Both distributors receive every change. Each of them starts the push tree for half of the
     // sets.
-    const bool other_starts_tree = push.spread == Spread::kZone && peers_.isDistributor() &&
+    const bool other_starts_tree = push.spread == ForwardMode::kZone && peers_.isDistributor() &&
                                    !peers_.isTreeRootFor(EndpointStore::bucketOf(change.key));
     if (other_starts_tree) continue;
     if (store_.markSpreadUsed(change.key, change.generation, push.spread)) due.push_back(change);
--- a/src/distribution/endpoint_store.cpp
+++ b/src/distribution/endpoint_store.cpp
@@ -125,7 +125,8 @@
   return &entry->second.set;
 }
 
-bool EndpointStore::markSpreadUsed(const EndpointKey& key, Generation generation, Spread spread) {
+bool EndpointStore::markSpreadUsed(const EndpointKey& key, Generation generation,
+                                   ForwardMode spread) {
   Entry& entry = entries_[key];
   if (generation < entry.spread_generation) return false;
   if (generation > entry.spread_generation) {
--- a/src/distribution/endpoint_store.h
+++ b/src/distribution/endpoint_store.h
@@ -40,7 +40,7 @@
 
   /// Returns true the first time it is called for this generation of the key and this `spread`, so
   /// that each generation is forwarded once in each mode.
-  bool markSpreadUsed(const EndpointKey& key, Generation generation, Spread spread);
+  bool markSpreadUsed(const EndpointKey& key, Generation generation, ForwardMode spread);
 
   /// Checksum over all keys and generations; equal on nodes that hold the same generations.
   std::uint64_t checksum() const;
--- a/src/distribution/messages.h
+++ b/src/distribution/messages.h
@@ -27,7 +27,7 @@
 inline constexpr std::size_t kMaxReportedError = 200;
 
 /// How the receiver of a push forwards it, in addition to applying it.
-enum class Spread : std::uint8_t {
+enum class ForwardMode : std::uint8_t {
   kDirect = 0,      ///< Sent to this node only; no forwarding requested.
   kZone = 1,        ///< Forward it to all members of the receiver's zone.
   kFirstTree = 2,   ///< Forward it to the receiver's children in the first distributor's tree.
@@ -69,14 +69,14 @@
 
 /// Propagates an acceptance record to every node.
 struct RecordPush {
-  Spread spread = Spread::kDirect;
+  ForwardMode spread = ForwardMode::kDirect;
   AcceptanceRecord record;
   friend bool operator==(const RecordPush&, const RecordPush&) = default;
 };
 
 /// Announces that the sender holds this content completely and can send it.
 struct ContentAnnouncement {
-  Spread spread = Spread::kDirect;
+  ForwardMode spread = ForwardMode::kDirect;
   ContentId content;
   friend bool operator==(const ContentAnnouncement&, const ContentAnnouncement&) = default;
 };
@@ -148,7 +148,7 @@
 };
 
 struct EndpointPush {
-  Spread spread = Spread::kDirect;
+  ForwardMode spread = ForwardMode::kDirect;
   std::vector<EndpointChange> changes;
   friend bool operator==(const EndpointPush&, const EndpointPush&) = default;
 };
--- a/src/distribution/peers.cpp
+++ b/src/distribution/peers.cpp
@@ -8,8 +8,10 @@
 
 constexpr std::size_t kTrees = 2;
 
-Spread treeOf(std::size_t rank) { return rank == 0 ? Spread::kFirstTree : Spread::kSecondTree; }
-std::size_t rankOf(Spread tree) { return tree == Spread::kFirstTree ? 0 : 1; }
+ForwardMode treeOf(std::size_t rank) {
+  return rank == 0 ? ForwardMode::kFirstTree : ForwardMode::kSecondTree;
+}
+std::size_t rankOf(ForwardMode tree) { return tree == ForwardMode::kFirstTree ? 0 : 1; }
 
 /// Returns the distributors of the zone, or its first contacts if the view contains no distributor.
 std::vector<NodeId> rootsOf(const membership::View& view, const membership::ZoneView& zone) {
@@ -86,19 +88,20 @@
   }
 }
 
-std::vector<PushTarget> Peers::targets(Spread spread) const {
-  if (spread == Spread::kDirect) return {};
-  if (spread != Spread::kZone) return treeChildren(spread);
+std::vector<PushTarget> Peers::targets(ForwardMode spread) const {
+  if (spread == ForwardMode::kDirect) return {};
+  if (spread != ForwardMode::kZone) return treeChildren(spread);
   if (rooted_tree_) return treeChildren(*rooted_tree_);
   std::vector<PushTarget> targets;
-  for (const NodeId& node : local_distributors_) targets.push_back({node, Spread::kZone});
+  for (const NodeId& node : local_distributors_) targets.push_back({node, ForwardMode::kZone});
   return targets;
 }
 
 std::vector<PushTarget> Peers::originTargets() const {
-  std::vector<PushTarget> targets = this->targets(Spread::kZone);
+  std::vector<PushTarget> targets = this->targets(ForwardMode::kZone);
   if (rooted_tree_) {
-    for (const NodeId& node : otherLocalDistributors()) targets.push_back({node, Spread::kZone});
+    for (const NodeId& node : otherLocalDistributors())
+      targets.push_back({node, ForwardMode::kZone});
   }
   for (PushTarget& target : remoteZoneTargets()) targets.push_back(std::move(target));
   return targets;
@@ -108,7 +111,7 @@
   std::vector<PushTarget> targets;
   for (const auto& [id, zone] : view_.zones) {
     if (id == zone_ || !zone.reachable) continue;
-    for (const NodeId& node : rootsOf(view_, zone)) targets.push_back({node, Spread::kZone});
+    for (const NodeId& node : rootsOf(view_, zone)) targets.push_back({node, ForwardMode::kZone});
   }
   return targets;
 }
@@ -171,7 +174,7 @@
                     [this](const membership::Member& member) { return member.id != self_; }));
 }
 
-std::vector<PushTarget> Peers::treeChildren(Spread tree) const {
+std::vector<PushTarget> Peers::treeChildren(ForwardMode tree) const {
   const std::size_t rank = rankOf(tree);
   if (rank >= local_distributors_.size()) return {};
   const TreeOrder order(localMembers(), local_distributors_[rank], rank == 1);
--- a/src/distribution/peers.h
+++ b/src/distribution/peers.h
@@ -16,16 +16,16 @@
 /// One recipient of a push, and how it forwards the push.
 struct PushTarget {
   NodeId to;
-  Spread spread = Spread::kDirect;
+  ForwardMode spread = ForwardMode::kDirect;
   friend bool operator==(const PushTarget&, const PushTarget&) = default;
 };
 
-/// Remembers in which Spread modes an update has already been forwarded, so that each mode is used
-/// only once.
+/// Remembers in which forward modes an update has already been forwarded, so that each mode is
+/// used only once.
 class SpreadProgress {
  public:
   /// Marks the mode as used. Returns true the first time it is called with this mode.
-  bool markUsed(Spread spread) {
+  bool markUsed(ForwardMode spread) {
     const auto bit = static_cast<std::uint8_t>(1U << static_cast<unsigned>(spread));
     const bool first = (used_ & bit) == 0;
     used_ = static_cast<std::uint8_t>(used_ | bit);
@@ -37,13 +37,13 @@
   std::uint8_t used_ = 0;
 };
 
-/// The Spread modes in which one update must still be forwarded, and those already used.
+/// The forward modes in which one update must still be forwarded, and those already used.
 struct PendingSpread {
-  std::vector<Spread> due;
+  std::vector<ForwardMode> due;
   SpreadProgress progress;
 
   /// Marks the mode as due unless it was used before. Returns whether it was marked.
-  bool add(Spread spread) {
+  bool add(ForwardMode spread) {
     if (!progress.markUsed(spread)) return false;
     due.push_back(spread);
     return true;
@@ -65,7 +65,7 @@
   const membership::View& view() const { return view_; }
 
   /// Returns where to forward an update that arrived with `spread`.
-  std::vector<PushTarget> targets(Spread spread) const;
+  std::vector<PushTarget> targets(ForwardMode spread) const;
   /// Returns where to send an update that originates at this node: to every reachable zone.
   std::vector<PushTarget> originTargets() const;
 
@@ -96,7 +96,7 @@
   std::size_t otherLocalMemberCount() const;
 
  private:
-  std::vector<PushTarget> treeChildren(Spread tree) const;
+  std::vector<PushTarget> treeChildren(ForwardMode tree) const;
   std::optional<NodeId> randomMember(const membership::ZoneView& zone) const;
   const std::vector<membership::Member>& localMembers() const;
 
@@ -107,7 +107,7 @@
   membership::View view_;
   std::vector<NodeId> neighbours_;
   std::vector<NodeId> local_distributors_;
-  std::optional<Spread> rooted_tree_;  ///< The tree of which this node is the root, if any.
+  std::optional<ForwardMode> rooted_tree_;  ///< The tree of which this node is the root, if any.
 };
 
 }  // namespace coursepond::distribution
--- a/src/distribution/replica_implementation.cpp
+++ b/src/distribution/replica_implementation.cpp
@@ -117,7 +117,7 @@
 bool Replica::Implementation::offer(const AcceptanceRecord& record) {
   if (!merge(record)) return false;
   if (rechecking_) {
-    pending_record_spread_.add(Spread::kZone);
+    pending_record_spread_.add(ForwardMode::kZone);
   } else {
     for (const PushTarget& target : peers_.originTargets()) {
       sender_.send(target.to, RecordPush{target.spread, record_});
@@ -157,12 +157,12 @@
   const bool is_newer = merge(push.record);
   if (!is_newer && push.record != record_) return;
   if (is_newer) {
-    if (push.spread == Spread::kDirect) ++statistics_.repairs;
+    if (push.spread == ForwardMode::kDirect) ++statistics_.repairs;
     content_.wantFrom(from, acceptedContent());
   }
   // A record that arrived by repair may be new to the whole zone.
-  const bool forward_to_zone = is_newer && push.spread == Spread::kDirect;
-  pending_record_spread_.add(forward_to_zone ? Spread::kZone : push.spread);
+  const bool forward_to_zone = is_newer && push.spread == ForwardMode::kDirect;
+  pending_record_spread_.add(forward_to_zone ? ForwardMode::kZone : push.spread);
   spreadRecord();
   applyIfPossible();
 }
@@ -191,9 +191,9 @@
 
 void Replica::Implementation::spreadRecord() {
   if (rechecking_) return;
-  std::vector<Spread> due;
+  std::vector<ForwardMode> due;
   std::swap(due, pending_record_spread_.due);
-  for (const Spread way : due) {
+  for (const ForwardMode way : due) {
     for (const PushTarget& target : peers_.targets(way)) {
       sender_.send(target.to, RecordPush{target.spread, record_});
     }
@@ -373,15 +373,15 @@
   const bool record_differs =
       theirs.accepted == record_.version && theirs.accepted_checksum != checksumOf(record_.digest);
   if (theirs.accepted < record_.version || record_differs) {
-    sender_.send(to, RecordPush{Spread::kDirect, record_});
+    sender_.send(to, RecordPush{ForwardMode::kDirect, record_});
   }
   const ContentId staged = content_.newestComplete();
   if (theirs.staged < staged.version) {
-    sender_.send(to, ContentAnnouncement{Spread::kDirect, staged});
+    sender_.send(to, ContentAnnouncement{ForwardMode::kDirect, staged});
   }
   const ContentId accepted = acceptedContent();
   if (theirs.in_force < accepted.version && accepted != staged && content_.complete(accepted)) {
-    sender_.send(to, ContentAnnouncement{Spread::kDirect, accepted});
+    sender_.send(to, ContentAnnouncement{ForwardMode::kDirect, accepted});
   }
   return theirs.accepted > record_.version || record_differs || theirs.staged > staged.version ||
          theirs.in_force > in_force_.version;
--- a/src/egress/admission_throttle.cpp
+++ b/src/egress/admission_throttle.cpp
@@ -13,7 +13,7 @@
   const double excess = asked_ - settings.pass_ratio * accepted_ - settings.tolerated_refusals;
   if (excess <= 0) return true;
   const double refused_part = excess / asked_;
-  if (!happens(environment, refused_part)) return true;
+  if (!randomBool(environment, refused_part)) return true;
   asked_ += 1;
   return false;
 }
@@ -26,7 +26,7 @@
 }
 
 void AdmissionThrottle::decay(const ThrottleSettings& settings, TimePoint now) {
-  const double kept = leftAfter(std::max(now - counted_at_, Duration(0)), settings.half_life);
+  const double kept = decayFactor(std::max(now - counted_at_, Duration(0)), settings.half_life);
   asked_ *= kept;
   accepted_ *= kept;
   counted_at_ = now;
--- a/src/egress/egress_flow.cpp
+++ b/src/egress/egress_flow.cpp
@@ -39,11 +39,11 @@
 /// Returns whether an ingress refused because its server or link is busy, as opposed to a server
 /// that is leaving or belongs to another service.
 bool isCapacityRefusal(const AnswerHead& answer) {
-  return answer.node_reason == reasonWord(Reason::kQueueFull) ||
-         answer.node_reason == reasonWord(Reason::kNoFreeSlot) ||
-         answer.node_reason == reasonWord(Reason::kQueueTimeout) ||
-         answer.node_reason == reasonWord(Reason::kLinkFull) ||
-         answer.node_reason == reasonWord(Reason::kDeadlineTooShort);
+  return answer.node_reason == reasonName(Reason::kQueueFull) ||
+         answer.node_reason == reasonName(Reason::kNoFreeSlot) ||
+         answer.node_reason == reasonName(Reason::kQueueTimeout) ||
+         answer.node_reason == reasonName(Reason::kLinkFull) ||
+         answer.node_reason == reasonName(Reason::kDeadlineTooShort);
 }
 
 class EgressFlow final : public proxy::Exchange,
@@ -73,7 +73,7 @@
   enum class Phase { kNew, kAskingQuota, kWaiting, kAttempting, kForwarding, kFinished };
 
   void onDeadline(TimePoint now) override;
-  void onQuota(bool may_pass) override;
+  void onQuotaChecked(bool may_pass) override;
 
   void route(TimePoint now);
   void waitForConfiguration(TimePoint now);
@@ -108,7 +108,7 @@
   void onSilent(TimePoint now);
   void noteArrival();
   bool mayRepeat(RepeatReason reason, TimePoint now);
-  proxy::RepeatUse repeatUse(RepeatReason reason, TimePoint now);
+  proxy::RetryBudgetUse repeatUse(RepeatReason reason, TimePoint now);
   void releaseServer();
 
   void note(proxy::DecisionKind kind, std::string_view reason, int status) const;
@@ -223,13 +223,13 @@
       return admit(now);
     case admission::QuotaVerdict::kRefused:
       return conclude(Reason::kQuotaExceeded);
-    case admission::QuotaVerdict::kAsked:
+    case admission::QuotaVerdict::kPending:
       phase_ = Phase::kAskingQuota;
       return;
   }
 }
 
-void EgressFlow::onQuota(bool may_pass) {
+void EgressFlow::onQuotaChecked(bool may_pass) {
   phase_ = Phase::kWaiting;
   holds_quota_ = may_pass;
   may_pass ? admit(environment_.now()) : conclude(Reason::kQuotaExceeded);
@@ -247,7 +247,8 @@
   const bool is_too_late = state_.stopDeadline() - now <= state_.settings().stop_reserve;
   if (is_too_late) return conclude(Reason::kStopping);
   deadline_ = started_ + allowed;
-  wait_until_ = std::min(deadline_, now + part(target(), state_.settings().patience));
+  wait_until_ =
+      std::min(deadline_, now + fractionOf(target(), state_.settings().server_wait_share));
   service_ = state_.split().next(*route_);
   slots_.emplace(state_.settings().slots, is_call_);
   const bool may_run = verdict(now) == CrashVerdict::kMayRun;
@@ -397,7 +398,7 @@
   if (isCurrent(attempt, Phase::kForwarding)) return onAnswerCut(attempt);
   if (!isCurrent(attempt, Phase::kAttempting)) return;
   const TimePoint now = environment_.now();
-  note(proxy::DecisionKind::kAttemptEnded, failureWord(failure), 0);
+  note(proxy::DecisionKind::kAttemptEnded, failureName(failure), 0);
   switch (failure) {
     case AttemptFailure::kConnectFailed:
       ++state_.statistics().hop_failures;
@@ -452,7 +453,7 @@
 /// repeated if that is allowed; otherwise it keeps waiting.
 void EgressFlow::onSilent(TimePoint now) {
   note(proxy::DecisionKind::kAttemptEnded, "silent", 0);
-  ++state_.statistics().hop_silences;
+  ++state_.statistics().hop_receipt_timeouts;
   state_.onReceipt(now - attempt_started_);
   state_.onUnreachable(*server_, now);
   was_received_ = true;
@@ -506,7 +507,7 @@
     note(proxy::DecisionKind::kAttemptEnded, answer.node_reason, 0);
     io_.discardAnswer(attempt_);
     const bool was_late = answer.status == kGatewayTimeout;
-    if (answer.node_reason == reasonWord(Reason::kConnectionLost)) ++lost_runs_;
+    if (answer.node_reason == reasonName(Reason::kConnectionLost)) ++lost_runs_;
     return onOutcomeUnknown(was_late ? Reason::kDeadline : Reason::kConnectionLost, now);
   }
   state_.onLatency(*server_, state_.use(service_), now - attempt_started_, now);
@@ -539,8 +540,8 @@
   if (answer.retry_after) {
     retry_after_ = std::min(retry_after_.value_or(*answer.retry_after), *answer.retry_after);
   }
-  if (answer.node_reason == reasonWord(Reason::kOtherInstance)) return onOtherInstance(now);
-  if (answer.node_reason == reasonWord(Reason::kServerRefused)) return onServerRefused(now);
+  if (answer.node_reason == reasonName(Reason::kOtherInstance)) return onOtherInstance(now);
+  if (answer.node_reason == reasonName(Reason::kServerRefused)) return onServerRefused(now);
   onIngressRefused(answer, now);
 }
 
@@ -548,9 +549,9 @@
 void EgressFlow::onIngressRefused(const AnswerHead& answer, TimePoint now) {
   ++state_.statistics().hop_refusals;
   tried_.push_back(server_->entry.id);
-  const bool is_over_budget = answer.node_reason == reasonWord(Reason::kRetryBudget);
-  const bool is_rejecting = answer.node_reason == reasonWord(Reason::kServerRejecting);
-  const bool is_suspect = answer.node_reason == reasonWord(Reason::kCrashesServers);
+  const bool is_over_budget = answer.node_reason == reasonName(Reason::kRetryBudget);
+  const bool is_rejecting = answer.node_reason == reasonName(Reason::kServerRejecting);
+  const bool is_suspect = answer.node_reason == reasonName(Reason::kCrashesServers);
   if (isCapacityRefusal(answer)) slots_->onFull(server_, server_->load);
   if (is_rejecting) slots_->onRejecting(server_, server_->load);
   if (is_over_budget) slots_->onRefused();
@@ -615,9 +616,9 @@
   if (may_have_run_ && !is_repeatable_) return false;
   if (lost_runs_ >= kMaxLostRuns || verdict(now) != CrashVerdict::kMayRun) return false;
   if (arrivals_ >= max_attempts_ || deadline_ - now < kMinRemainingForRepeat) return false;
-  if (!state_.retries().takeRepeat(service_, reason, repeatUse(reason, now))) {
+  if (!state_.retries().spendRepeat(service_, reason, repeatUse(reason, now))) {
     ++state_.statistics().repeats_denied;
-    note(proxy::DecisionKind::kRepeatDenied, repeatWord(reason), 0);
+    note(proxy::DecisionKind::kRepeatDenied, repeatReasonName(reason), 0);
     return false;
   }
   ++state_.statistics().repeats;
@@ -627,12 +628,13 @@
 
 /// Repeats that can still meet the target latency and do not follow a server's refusal may use the
 /// whole retry budget; all others may use half of it.
-proxy::RepeatUse EgressFlow::repeatUse(RepeatReason reason, TimePoint now) {
+proxy::RetryBudgetUse EgressFlow::repeatUse(RepeatReason reason, TimePoint now) {
   const Duration usual =
-      part(std::chrono::milliseconds(1), state_.use(service_).average_latency_ms);
+      fractionOf(std::chrono::milliseconds(1), state_.use(service_).average_latency_ms);
   const bool is_in_time = now + usual <= started_ + target();
   const bool was_turned_away = reason == RepeatReason::kServerRefused;
-  return is_in_time && !was_turned_away ? proxy::RepeatUse::kAll : proxy::RepeatUse::kHalf;
+  return is_in_time && !was_turned_away ? proxy::RetryBudgetUse::kAll
+                                        : proxy::RetryBudgetUse::kHalf;
 }
 
 // ---- Completion
@@ -701,13 +703,13 @@
 }
 
 void EgressFlow::conclude(Reason reason) {
-  if (holds_repeat_ && !server_) state_.retries().giveBackRepeat(service_);
+  if (holds_repeat_ && !server_) state_.retries().refundRepeat(service_);
   const proxy::LocalAnswer answer = makeAnswer(reason);
   const bool not_run = answer.outcome == proxy::Outcome::kNotRun;
   if (not_run && holds_quota_) state_.quotas()->giveBack(tenant_->name);
   Statistics& statistics = state_.statistics();
   if (answer.status == kServiceUnavailable) ++statistics.refused;
-  if (reason == Reason::kCrashesServers) ++statistics.suspected;
+  if (reason == Reason::kCrashesServers) ++statistics.crash_suspects_refused;
   if (answer.status == kNotFound) ++statistics.no_route;
   if (answer.status == kUnauthorized) ++statistics.unauthenticated;
   if (answer.status == kTooManyRequests) ++statistics.over_quota;
@@ -726,7 +728,7 @@
 
 proxy::LocalAnswer EgressFlow::makeAnswer(Reason reason) const {
   proxy::LocalAnswer answer;
-  answer.reason = std::string(reasonWord(reason));
+  answer.reason = std::string(reasonName(reason));
   if (reason == Reason::kNoRoute) {
     answer.status = kNotFound;
   } else if (reason == Reason::kUnknownApiKey) {
--- a/src/egress/egress_state.cpp
+++ b/src/egress/egress_state.cpp
@@ -123,7 +123,7 @@
 Duration EgressState::suspectRetryAfter(RequestFingerprint request, TimePoint now) const {
   if (suspects_ == nullptr) return settings_.default_retry_after;
   const Duration trial =
-      suspects_->trialIn(request, now).value_or(settings_.crash_suspect_retry_after);
+      suspects_->timeUntilTrial(request, now).value_or(settings_.crash_suspect_retry_after);
   // A trial that is due may already be in flight, and its outcome will be known soon.
   return std::max(trial, settings_.default_retry_after);
 }
@@ -182,7 +182,7 @@
   const double others = std::max(0.0, reported - server.in_flight_at_report);
   // After about one service time, the reported requests have ended and others have replaced them.
   const Duration half_life = std::max(server.load.service_time, kMinLoadHalfLife);
-  return usual + (others - usual) * leftAfter(now - server.load_at, half_life);
+  return usual + (others - usual) * decayFactor(now - server.load_at, half_life);
 }
 
 void EgressState::onReached(Server& server) {
@@ -222,8 +222,10 @@
 
 double EgressState::slowness(const Server& server, TimePoint now) const {
   const Duration half_life = settings_.slowness_half_life;
-  const double observed = (server.slowness - 1.0) * leftAfter(now - server.slowness_at, half_life);
-  const double reported = (server.load_slowness - 1.0) * leftAfter(now - server.load_at, half_life);
+  const double observed =
+      (server.slowness - 1.0) * decayFactor(now - server.slowness_at, half_life);
+  const double reported =
+      (server.load_slowness - 1.0) * decayFactor(now - server.load_at, half_life);
   // The observed latency includes the network path, which may be slow while the server is not.
   return 1.0 + (observed > std::max(reported, 0.0) ? observed : reported);
 }
@@ -234,15 +236,15 @@
   if (use.average_latency_ms <= 0) use.average_latency_ms = latency_ms;
   use.average_latency_ms += weight * (latency_ms - use.average_latency_ms);
   const double sample = latency_ms / std::max(use.average_latency_ms, 1.0);
-  const double before = 1.0 + (server.slowness - 1.0) *
-                                  leftAfter(now - server.slowness_at, settings_.slowness_half_life);
+  const double before = 1.0 + (server.slowness - 1.0) * decayFactor(now - server.slowness_at,
+                                                                    settings_.slowness_half_life);
   server.slowness = before + weight * (std::clamp(sample, kMinSlowness, kMaxSlowness) - before);
   server.slowness_at = now;
 }
 
 void EgressState::announceStop(TimePoint end) {
   stop_deadline_ = end - kStopReserve;
-  deadlines_.bringForward(stop_deadline_);
+  deadlines_.capDeadlines(stop_deadline_);
 }
 
 void EgressState::onReceipt(Duration latency) {
--- a/src/egress/egress_state.h
+++ b/src/egress/egress_state.h
@@ -38,15 +38,16 @@
   std::uint64_t hop_refusals = 0;     ///< By ingresses; no server saw the request.
   std::uint64_t server_refusals = 0;  ///< By servers, which did not run the request.
   std::uint64_t hop_failures = 0;     ///< Ingresses that were unreachable or lost the connection.
-  std::uint64_t hop_silences = 0;     ///< Ingresses that did not acknowledge a request in time.
-  std::uint64_t bad_answers = 0;      ///< For another request, unsigned, or malformed.
-  std::uint64_t refused = 0;          ///< 503: not run.
-  std::uint64_t suspected = 0;        ///< Of these, refused as crash suspects.
-  std::uint64_t throttled = 0;        ///< Of these, refused by the AdmissionThrottle.
-  std::uint64_t unknown = 0;          ///< 502 and 504: the request may have run.
-  std::uint64_t no_route = 0;         ///< 404.
-  std::uint64_t unauthenticated = 0;  ///< 401: no API key that belongs to a tenant.
-  std::uint64_t over_quota = 0;       ///< 429: the tenant's quota is exceeded.
+  /// Ingresses that did not acknowledge a request in time.
+  std::uint64_t hop_receipt_timeouts = 0;
+  std::uint64_t bad_answers = 0;             ///< For another request, unsigned, or malformed.
+  std::uint64_t refused = 0;                 ///< 503: not run.
+  std::uint64_t crash_suspects_refused = 0;  ///< Of these, refused as crash suspects.
+  std::uint64_t throttled = 0;               ///< Of these, refused by the AdmissionThrottle.
+  std::uint64_t unknown = 0;                 ///< 502 and 504: the request may have run.
+  std::uint64_t no_route = 0;                ///< 404.
+  std::uint64_t unauthenticated = 0;         ///< 401: no API key that belongs to a tenant.
+  std::uint64_t over_quota = 0;              ///< 429: the tenant's quota is exceeded.
   std::uint64_t caller_gone = 0;
 };
 
--- a/src/egress/server_directory.cpp
+++ b/src/egress/server_directory.cpp
@@ -51,10 +51,10 @@
   const bool was_draining = server && server->draining();
   const bool is_changed = !server || server->entry != entry;
   const bool is_new_start =
-      !server || server->entry.address != entry.address || !isSameStart(server->entry, entry);
-  const Duration cold_before = is_new_start ? Duration(0) : server->entry.warm_up_left;
+      !server || server->entry.address != entry.address || !isSameInstance(server->entry, entry);
+  const Duration cold_before = is_new_start ? Duration(0) : server->entry.remaining_warm_up;
   if (is_new_start) server = std::make_shared<Server>();
-  if (entry.warm_up_left > cold_before) server->cold_until = now + entry.warm_up_left;
+  if (entry.remaining_warm_up > cold_before) server->cold_until = now + entry.remaining_warm_up;
   server->entry = entry;
   if (is_changed) server->entry_since = now;
   server->lapsed_at.reset();
--- a/src/egress/settings.h
+++ b/src/egress/settings.h
@@ -81,7 +81,7 @@
   /// Interval at which a request without a server (or configuration) checks again for one.
   Duration server_poll_interval = std::chrono::milliseconds(30);
   /// Maximum time for which a request waits for a server, as a fraction of its target latency.
-  double patience = 0.2;
+  double server_wait_share = 0.2;
 
   Duration shortest_retry_after = std::chrono::milliseconds(100);
   Duration default_retry_after = std::chrono::milliseconds(400);
--- a/src/ingress/ingress_flow.cpp
+++ b/src/ingress/ingress_flow.cpp
@@ -137,9 +137,9 @@
 
 WaitBounds IngressFlow::waitBounds(TimePoint now) const {
   const Settings& settings = state_.settings();
-  if (is_call) return {now + part(deadline_ - now, settings.call_wait_share), deadline_};
-  return {now + part(target, settings.wait_share),
-          std::min(deadline_, now + part(target, settings.target_stretch))};
+  if (is_call) return {now + fractionOf(deadline_ - now, settings.call_wait_share), deadline_};
+  return {now + fractionOf(target, settings.wait_share),
+          std::min(deadline_, now + fractionOf(target, settings.target_stretch))};
 }
 
 void IngressFlow::onSlot(TimePoint now) {
@@ -174,7 +174,7 @@
   if (isCurrent(attempt, Phase::kForwarding)) return onAnswerCut(attempt);
   if (!isCurrent(attempt, Phase::kAttempting)) return;
   const TimePoint now = environment_.now();
-  note(proxy::DecisionKind::kAttemptEnded, failureWord(failure), 0);
+  note(proxy::DecisionKind::kAttemptEnded, failureName(failure), 0);
   const bool may_try_again = attempt_ < state_.settings().max_local_attempts && now < deadline_;
   switch (failure) {
     case AttemptFailure::kClosedUnsent:
@@ -363,7 +363,7 @@
 
 proxy::LocalAnswer IngressFlow::makeAnswer(Reason reason) const {
   proxy::LocalAnswer answer;
-  answer.reason = std::string(reasonWord(reason));
+  answer.reason = std::string(reasonName(reason));
   if (may_have_run_) {
     answer.status = reason == Reason::kDeadline ? kGatewayTimeout : kBadGateway;
     answer.outcome = proxy::Outcome::kUnknown;
--- a/src/ingress/ingress_state.cpp
+++ b/src/ingress/ingress_state.cpp
@@ -21,7 +21,7 @@
 
 void IngressState::setServer(const std::optional<model::ServerEntry>& entry) {
   const TimePoint now = environment_.now();
-  const bool is_new_start = entry && (!server_ || !isSameStart(*server_, *entry));
+  const bool is_new_start = entry && (!server_ || !isSameInstance(*server_, *entry));
   if (is_new_start) {
     instance_ = entry->id.value();
     // This may be a new instance with the same id.
@@ -29,9 +29,9 @@
     rejections_ = RejectionRate();
     cold_start_.suspectTurnedCold(now);
   }
-  const Duration cold_before = server_ && !is_new_start ? server_->warm_up_left : Duration(0);
-  if (entry && entry->warm_up_left > cold_before)
-    cold_start_.onWarmUpReported(entry->warm_up_left, now);
+  const Duration cold_before = server_ && !is_new_start ? server_->remaining_warm_up : Duration(0);
+  if (entry && entry->remaining_warm_up > cold_before)
+    cold_start_.onWarmUpReported(entry->remaining_warm_up, now);
   server_ = entry;
   // Waiting requests could otherwise reach the server long after it reported that it is leaving.
   if (isServerLeaving()) refuseWaiting(Reason::kServerDraining, now);
--- a/src/ingress/ingress_state.h
+++ b/src/ingress/ingress_state.h
@@ -78,7 +78,7 @@
   /// Sets the configuration of the server's service.
   void setService(const model::Service& service);
   /// `ask` is called when a health check of the server is needed; pass the result to onHealth().
-  void onHealthWanted(std::function<void()> ask) { check_health_ = std::move(ask); }
+  void onHealthCheckNeeded(std::function<void()> ask) { check_health_ = std::move(ask); }
   void onHealth(const ServerHealth& health);
   /// Called when a request sent to the server at `sent` was lost or could not reach it. The server
   /// may have restarted since then.
--- a/src/ingress/rejection_rate.cpp
+++ b/src/ingress/rejection_rate.cpp
@@ -27,7 +27,7 @@
   const double excess = value(settings, now) - settings.tolerated_rate;
   if (excess <= 0) return false;
   const double part = std::min(excess / (settings.full_rate - settings.tolerated_rate), 1.0);
-  return happens(environment, part * settings.max_turned_away);
+  return randomBool(environment, part * settings.max_turned_away);
 }
 
 }  // namespace coursepond::ingress
--- a/src/ingress/server_end_watch.h
+++ b/src/ingress/server_end_watch.h
@@ -38,7 +38,7 @@
   ServerEndWatch& operator=(const ServerEndWatch&) = delete;
 
   /// `ask` is called when the port should be checked; pass the result to onPort().
-  void onPortWanted(std::function<void()> ask) { check_port_ = std::move(ask); }
+  void onPortCheckNeeded(std::function<void()> ask) { check_port_ = std::move(ask); }
   void onEnd(EndHandler handler) { on_end_ = std::move(handler); }
 
   /// Called when a request that was sent to the server at `sent` lost its connection before its
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -41,7 +41,7 @@
                  MessageSender<Message>& sender, MembershipObserver& observer);
 
   void start();
-  void addHints(const std::vector<model::ListedNode>& nodes);
+  void setListedNodes(const std::vector<model::ListedNode>& nodes);
   void addZones(const std::vector<ZoneId>& zones);
   void onMessage(const NodeId& from, const Message& message);
   void leave();
@@ -224,7 +224,7 @@
   reconnect_timer_.start(reconnectDelay(), [this] { reconnect(); });
 }
 
-void Membership::Implementation::addHints(const std::vector<model::ListedNode>& nodes) {
+void Membership::Implementation::setListedNodes(const std::vector<model::ListedNode>& nodes) {
   seeds_.setListed(nodes);
   zones_.setListed(seeds_.listedZones(), environment_.now());
   for (const NodeId& id :
@@ -808,8 +808,8 @@
 
 void Membership::start() { implementation_->start(); }
 
-void Membership::addHints(const std::vector<model::ListedNode>& nodes) {
-  implementation_->addHints(nodes);
+void Membership::setListedNodes(const std::vector<model::ListedNode>& nodes) {
+  implementation_->setListedNodes(nodes);
 }
 
 void Membership::addZones(const std::vector<ZoneId>& zones) { implementation_->addZones(zones); }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -62,7 +62,7 @@
 
   /// Passes the platform's machine list. It supplies seeds to join through and leaving marks; it
   /// never adds or removes members.
-  void addHints(const std::vector<model::ListedNode>& nodes);
+  void setListedNodes(const std::vector<model::ListedNode>& nodes);
 
   /// Adds the zones that the settings name. They are known from the start and never forgotten, so
   /// that a node that starts on the small side of a partition does not mistake its side for the
--- a/src/model/server_entry.h
+++ b/src/model/server_entry.h
@@ -22,13 +22,13 @@
   ZoneId zone;
   std::uint32_t slots = 0;  ///< Concurrent requests it executes; zero: unknown.
   MachineState state = MachineState::kLive;
-  Duration warm_up_left{};  ///< Remaining warm-up time when the entry was written.
-  SourceRevision revision;  ///< Revision of the entry's last change.
+  Duration remaining_warm_up{};  ///< Remaining warm-up time when the entry was written.
+  SourceRevision revision;       ///< Revision of the entry's last change.
   friend bool operator==(const ServerEntry&, const ServerEntry&) = default;
 };
 
 /// Whether both entries describe the same instance of the same server.
-inline bool isSameStart(const ServerEntry& left, const ServerEntry& right) {
+inline bool isSameInstance(const ServerEntry& left, const ServerEntry& right) {
   return left.id == right.id && left.started_ms == right.started_ms;
 }
 
--- a/src/node/crash_watch.cpp
+++ b/src/node/crash_watch.cpp
@@ -20,7 +20,7 @@
       port_(context, settings.two_hop.server),
       peers_(context, settings.node.peer_listen.port),
       gossip_(suspects_, peers_, environment, settings.suspect_gossip) {
-  ends_.onPortWanted([this] {
+  ends_.onPortCheckNeeded([this] {
     port_.probe([this](ingress::ServerPort port) { ends_.onPort(port, environment_.now()); });
   });
   ends_.onEnd([this](ServerEndId end, std::span<const RequestFingerprint> requests) {
--- a/src/node/node_metrics.cpp
+++ b/src/node/node_metrics.cpp
@@ -267,7 +267,7 @@
        {"peer_handshakes_deferred_total", "Handshakes deferred by this node's rate limit.",
         &S::handshakes_deferred},
        {"peer_told_later_total", "Number of times a peer deferred this node's handshake.",
-        &S::told_later},
+        &S::handshakes_deferred_by_peer},
        {"peer_closed_idle_total", "Connections closed because they were idle.", &S::closed_idle},
        {"peer_closed_stalled_total", "Connections closed because writes stalled.",
         &S::closed_stalled},
@@ -319,7 +319,7 @@
         std::vector<MetricSample> samples;
         for (std::size_t i = 0; i < counts.size(); ++i) {
           const auto reason = static_cast<runtime::RefusalReason>(i);
-          samples.push_back(MetricSample{{{"reason", std::string(runtime::reasonWord(reason))}},
+          samples.push_back(MetricSample{{{"reason", std::string(runtime::reasonName(reason))}},
                                          static_cast<double>(counts[i])});
         }
         return samples;
--- a/src/node/peer_state_exchange.cpp
+++ b/src/node/peer_state_exchange.cpp
@@ -29,8 +29,8 @@
   return std::nullopt;
 }
 
-source::PeerQuestion questionOf(source::Topic topic, std::string_view query) {
-  source::PeerQuestion question;
+source::StateRequest questionOf(source::Topic topic, std::string_view query) {
+  source::StateRequest question;
   question.topic = topic;
   question.after = {Era(parseNumber(query, "era")), Generation(parseNumber(query, "after"))};
   question.version = Version(parseNumber(query, "version"));
@@ -39,7 +39,7 @@
   return question;
 }
 
-std::string targetOf(const source::PeerQuestion& question) {
+std::string targetOf(const source::StateRequest& question) {
   const std::string after = "?era=" + std::to_string(question.after.era.value()) +
                             "&after=" + std::to_string(question.after.number.value());
   const std::string held = question.topic == source::Topic::kServers
@@ -114,12 +114,12 @@
 
 /// The requesting node continues from the revision in the answer, so it cannot use an answer from
 /// an earlier era.
-bool PeerStateServer::satisfiesFreshness(const source::PeerQuestion& question) const {
+bool PeerStateServer::satisfiesFreshness(const source::StateRequest& question) const {
   if (!question.only_fresh) return true;
   return is_fresh_(question.topic) && question.after.era <= held_.revision(question.topic).era;
 }
 
-bool PeerStateServer::hasNewerState(const source::PeerQuestion& question) const {
+bool PeerStateServer::hasNewerState(const source::StateRequest& question) const {
   return question.topic == source::Topic::kServers
              ? held_.hasServersSince(question.after)
              : held_.hasConfigurationSince(question.version, question.after);
@@ -132,7 +132,7 @@
   }
   const std::optional<source::Topic> topic = topicOf(request.path());
   if (!topic || request.method != "GET") return responder.respond(plainAnswer(kNotFound));
-  const source::PeerQuestion question = questionOf(*topic, request.query());
+  const source::StateRequest question = questionOf(*topic, request.query());
   const bool is_ahead = question.version > held_.version();
   if (is_ahead && on_requester_ahead_) on_requester_ahead_(request.remote.host);
   if (!hasState(*topic)) return waitForFirstState(question, std::move(responder));
@@ -142,20 +142,20 @@
   wait(question, std::move(responder));
 }
 
-void PeerStateServer::wait(const source::PeerQuestion& question, runtime::HttpResponder responder) {
+void PeerStateServer::wait(const source::StateRequest& question, runtime::HttpResponder responder) {
   holdRequest(question, std::move(responder), question.wait,
               [this, question] { return makeAnswer(question); });
 }
 
 /// Holds the request for a short time because this node has just started and may soon have state.
 /// When a whole fleet starts, nodes that were rejected at once would all read the source.
-void PeerStateServer::waitForFirstState(const source::PeerQuestion& question,
+void PeerStateServer::waitForFirstState(const source::StateRequest& question,
                                         runtime::HttpResponder responder) {
   holdRequest(question, std::move(responder), kFirstStateTimeout,
               [] { return plainAnswer(kServiceUnavailable); });
 }
 
-void PeerStateServer::holdRequest(const source::PeerQuestion& question,
+void PeerStateServer::holdRequest(const source::StateRequest& question,
                                   runtime::HttpResponder responder, Duration timeout,
                                   std::function<runtime::HttpResponse()> answer_on_timeout) {
   pending_.push_back({question, std::move(responder), 0});
@@ -178,14 +178,14 @@
 }
 
 void PeerStateServer::onStateChanged(source::Topic topic) {
-  answerPending([&](const source::PeerQuestion& question) {
+  answerPending([&](const source::StateRequest& question) {
     return question.topic == topic && hasNewerState(question);
   });
 }
 
 void PeerStateServer::onVersionConfirmed() {
   if (!hasState(source::Topic::kConfiguration)) return;
-  answerPending([](const source::PeerQuestion& question) {
+  answerPending([](const source::StateRequest& question) {
     return question.topic == source::Topic::kConfiguration;
   });
 }
@@ -199,10 +199,10 @@
   });
 }
 
-const std::string& PeerStateServer::encodedAnswer(const source::PeerQuestion& question) {
+const std::string& PeerStateServer::encodedAnswer(const source::StateRequest& question) {
   const bool is_servers = question.topic == source::Topic::kServers;
   EncodedAnswer& answer = is_servers ? servers_answer_ : configuration_answer_;
-  const std::uint64_t edition = held_.edition(question.topic);
+  const std::uint64_t edition = held_.changeCount(question.topic);
   // A configuration update does not depend on `after`, so requests with different `after` share it.
   // Encoding the configuration is the expensive part.
   const bool is_same = (!is_servers || answer.requested_after == question.after) &&
@@ -216,7 +216,7 @@
   return answer.bytes;
 }
 
-runtime::HttpResponse PeerStateServer::makeAnswer(const source::PeerQuestion& question) {
+runtime::HttpResponse PeerStateServer::makeAnswer(const source::StateRequest& question) {
   runtime::HttpResponse response;
   response.content_type = "application/octet-stream";
   response.body = encodedAnswer(question);
@@ -229,13 +229,13 @@
   return response;
 }
 
-void HttpPeerStateClient::read(const std::string& host, const source::PeerQuestion& question,
+void HttpPeerStateClient::read(const std::string& host, const source::StateRequest& question,
                                Duration timeout, source::PeerStateCallback callback) {
   runtime::HttpClientRequest request;
   request.target = targetOf(question);
   request.stall_limit = settings_.stall_limit;
   // Server updates are small, so a peer that takes long to send one is treated as failed.
-  if (question.topic == source::Topic::kServers) request.longest_answer = settings_.stall_limit;
+  if (question.topic == source::Topic::kServers) request.answer_timeout = settings_.stall_limit;
   client_.request(
       Address{host, port_}, std::move(request), timeout,
       [callback = std::move(callback)](const Result<runtime::HttpClientResponse>& response) {
--- a/src/node/peer_state_exchange.h
+++ b/src/node/peer_state_exchange.h
@@ -69,7 +69,7 @@
 
  private:
   struct PendingRequest {
-    source::PeerQuestion question;
+    source::StateRequest question;
     runtime::HttpResponder responder;
     TimerId timer = 0;
   };
@@ -88,15 +88,15 @@
   void answer(const runtime::HttpRequest& request, runtime::HttpResponder responder);
   template <typename Condition>
   void answerPending(const Condition& should_answer);
-  void wait(const source::PeerQuestion& question, runtime::HttpResponder responder);
-  void waitForFirstState(const source::PeerQuestion& question, runtime::HttpResponder responder);
-  void holdRequest(const source::PeerQuestion& question, runtime::HttpResponder responder,
+  void wait(const source::StateRequest& question, runtime::HttpResponder responder);
+  void waitForFirstState(const source::StateRequest& question, runtime::HttpResponder responder);
+  void holdRequest(const source::StateRequest& question, runtime::HttpResponder responder,
                    Duration timeout, std::function<runtime::HttpResponse()> answer_on_timeout);
   bool hasState(source::Topic topic) const;
-  bool satisfiesFreshness(const source::PeerQuestion& question) const;
-  bool hasNewerState(const source::PeerQuestion& question) const;
-  const std::string& encodedAnswer(const source::PeerQuestion& question);
-  runtime::HttpResponse makeAnswer(const source::PeerQuestion& question);
+  bool satisfiesFreshness(const source::StateRequest& question) const;
+  bool hasNewerState(const source::StateRequest& question) const;
+  const std::string& encodedAnswer(const source::StateRequest& question);
+  runtime::HttpResponse makeAnswer(const source::StateRequest& question);
 
   const source::HeldState& held_;
   Environment& environment_;
@@ -116,7 +116,7 @@
   HttpPeerStateClient(boost::asio::io_context& context, std::uint16_t port,
                       const source::RelaySettings& settings)
       : port_(port), settings_(settings), client_(context) {}
-  void read(const std::string& host, const source::PeerQuestion& question, Duration timeout,
+  void read(const std::string& host, const source::StateRequest& question, Duration timeout,
             source::PeerStateCallback callback) override;
 
  private:
--- a/src/node/quota_exchange.cpp
+++ b/src/node/quota_exchange.cpp
@@ -27,7 +27,7 @@
   return std::to_string(static_cast<std::uint64_t>(std::ceil(std::max(tokens, 0.0))));
 }
 
-std::string targetOf(const admission::QuotaAsk& ask) {
+std::string targetOf(const admission::QuotaRequest& ask) {
   return std::string(kQuotaPath) + "?needed=" + formatTokens(ask.needed) +
          "&ahead=" + formatTokens(ask.ahead) + "&returned=" + formatTokens(ask.returned) +
          "&stand_in=" + (ask.is_stand_in ? "1" : "0");
@@ -58,13 +58,13 @@
 
 }  // namespace
 
-Result<admission::QuotaAsk> readQuotaAsk(const runtime::HttpRequest& request) {
+Result<admission::QuotaRequest> readQuotaRequest(const runtime::HttpRequest& request) {
   const auto tenant = runtime::findHeader(request.headers, http_headers::kTenant);
   if (!tenant || tenant->empty()) {
     return Error{ErrorKind::kMalformed, "a request for quota tokens names no tenant",
                  "run the same version of coursepond on all machines"};
   }
-  admission::QuotaAsk ask;
+  admission::QuotaRequest ask;
   ask.tenant = TenantName(std::string(*tenant));
   ask.asker = request.remote.host;
   ask.needed = tokensOf(request.query(), "needed");
@@ -89,7 +89,7 @@
   return response;
 }
 
-void HttpQuotaPeers::ask(const std::string& host, const admission::QuotaAsk& ask,
+void HttpQuotaPeers::ask(const std::string& host, const admission::QuotaRequest& ask,
                          Callback callback) {
   runtime::HttpClientRequest request;
   request.target = targetOf(ask);
--- a/src/node/quota_exchange.h
+++ b/src/node/quota_exchange.h
@@ -19,7 +19,7 @@
 inline constexpr std::string_view kQuotaPath = "/v1/quota";
 
 /// Parses a token request. Fails with kMalformed when it names no tenant.
-Result<admission::QuotaAsk> readQuotaAsk(const runtime::HttpRequest& request);
+Result<admission::QuotaRequest> readQuotaRequest(const runtime::HttpRequest& request);
 runtime::HttpResponse quotaAnswer(const admission::QuotaGrant& grant);
 /// Returns the answer for a tenant that this node does not know or that has no limit.
 runtime::HttpResponse noQuotaAnswer();
@@ -29,7 +29,7 @@
   /// `port` is the peer port, which is the same on all nodes.
   HttpQuotaPeers(boost::asio::io_context& context, std::uint16_t port)
       : port_(port), client_(context) {}
-  void ask(const std::string& host, const admission::QuotaAsk& ask, Callback callback) override;
+  void ask(const std::string& host, const admission::QuotaRequest& ask, Callback callback) override;
 
  private:
   std::uint16_t port_;
--- a/src/node/retry_report.cpp
+++ b/src/node/retry_report.cpp
@@ -20,7 +20,7 @@
     const std::uint64_t count = now.repeats[index] - reported.repeats[index];
     if (count == 0) continue;
     if (!text.empty()) text += " ";
-    text += std::string(proxy::repeatWord(static_cast<proxy::RepeatReason>(index))) + "=" +
+    text += std::string(proxy::repeatReasonName(static_cast<proxy::RepeatReason>(index))) + "=" +
             std::to_string(count);
   }
   return text;
--- a/src/node/two_hop_metrics.cpp
+++ b/src/node/two_hop_metrics.cpp
@@ -27,11 +27,12 @@
         "Attempts that failed because the ingress was unreachable or the connection was lost.",
         &S::hop_failures},
        {"egress_hop_silences_total", "Attempts that the ingress did not acknowledge in time.",
-        &S::hop_silences},
+        &S::hop_receipt_timeouts},
        {"egress_bad_answers_total", "Answers that belonged to another request or were unsigned.",
         &S::bad_answers},
        {"egress_refused_total", "Requests answered as not run.", &S::refused},
-       {"egress_suspected_total", "Of these, requests refused as crash suspects.", &S::suspected},
+       {"egress_suspected_total", "Of these, requests refused as crash suspects.",
+        &S::crash_suspects_refused},
        {"egress_throttled_total",
         "Of these, requests refused at the egress because the service is overloaded.",
         &S::throttled},
@@ -104,7 +105,7 @@
     for (std::size_t index = 0; index < proxy::kRepeatReasons; ++index) {
       const auto reason = static_cast<proxy::RepeatReason>(index);
       samples.push_back(
-          {{{"service", service.value()}, {"reason", std::string(proxy::repeatWord(reason))}},
+          {{{"service", service.value()}, {"reason", std::string(proxy::repeatReasonName(reason))}},
            static_cast<double>(account.statistics.repeats[index])});
     }
   }
@@ -197,7 +198,7 @@
     table.add({name, runtime::MetricType::kGauge, meaning, {"topic"}, [&held, value] {
                  std::vector<runtime::MetricSample> samples;
                  for (const Topic topic : {Topic::kServers, Topic::kConfiguration}) {
-                   samples.push_back({{{"topic", std::string(source::topicWord(topic))}},
+                   samples.push_back({{{"topic", std::string(source::topicName(topic))}},
                                       static_cast<double>(value(held.revision(topic)))});
                  }
                  return samples;
--- a/src/node/two_hop_node.cpp
+++ b/src/node/two_hop_node.cpp
@@ -67,7 +67,7 @@
   server.stop_drain = settings.node.stop_timeout;
   server.names = settings.headers;
   server.exact_retry_after = true;
-  server.whole_answer_bytes = kWholeAnswerBytes;
+  server.buffered_answer_bytes = kWholeAnswerBytes;
   server.upstream.warm_connections = 0;
   server.upstream.connection.buffer_bytes = kBufferBytes;
   return server;
@@ -153,7 +153,7 @@
                   {[this](const source::ServerChanges& changes) { onServersSettled(changes); },
                    [this](bool has_changed) { onZonesSettled(has_changed); }}) {
     ingress_.setAddress(settings_.two_hop.server);
-    ingress_.onHealthWanted([this] { fetchServerHealth(); });
+    ingress_.onHealthCheckNeeded([this] { fetchServerHealth(); });
     egress_.setSuspects(&crashes_.suspects());
     ingress_.setSuspects(&crashes_.suspects());
     egress_.setQuotas(&quotas_);
@@ -287,7 +287,7 @@
   };
   source.policy = &egress_;
   source.begin_stop = [] {};
-  source.runs_beside = [this](const proxy::RequestHead& head) {
+  source.may_run_concurrently = [this](const proxy::RequestHead& head) {
     return egress::mayRunTwice(head, egress_);
   };
   auto server = runtime::ProxyServer::create(context_, egressServerSettings(settings_),
@@ -305,7 +305,7 @@
   source.policy = &ingress_;
   source.begin_stop = [this] { ingress_.beginStop(); };
   runtime::ProxyServerSettings server_settings = ingressServerSettings(settings_);
-  server_settings.on_caller = [this](const std::string& host) { peers_.notePeer(host); };
+  server_settings.on_caller = [this](const std::string& host) { peers_.addPeer(host); };
   auto server =
       runtime::ProxyServer::create(context_, server_settings, std::move(source), environment_);
   if (!server) return server.error();
@@ -324,7 +324,7 @@
     return age;
   });
   peer_server_->onRequesterAhead(
-      [this](const std::string& host) { peers_.askAbout(source::Topic::kConfiguration, host); });
+      [this](const std::string& host) { peers_.askPeer(source::Topic::kConfiguration, host); });
   peer_server_->addHandler(
       kQuotaPath, [this](const runtime::HttpRequest& request) { return answerQuota(request); });
   peer_server_->addHandler(kSuspectsPath, [this](const runtime::HttpRequest& request) {
@@ -334,7 +334,7 @@
 }
 
 runtime::HttpResponse Implementation::answerQuota(const runtime::HttpRequest& request) {
-  const Result<admission::QuotaAsk> ask = readQuotaAsk(request);
+  const Result<admission::QuotaRequest> ask = readQuotaRequest(request);
   const std::shared_ptr<const egress::RoutingTable> routing = egress_.routing();
   if (!ask || !routing || stopping_) return noQuotaAnswer();
   const model::Tenant* const tenant = routing->tenants.findByName(ask->tenant.value());
@@ -365,7 +365,7 @@
   environment_.schedule(kRetryReportInterval, [this] { logRetries(); });
   // The configuration is read later, when it is known which other nodes could provide it.
   discovery_.start([this](const std::vector<source::NodeMachine>& machines) {
-    for (const source::NodeMachine& machine : machines) peers_.notePeer(machine.host);
+    for (const source::NodeMachine& machine : machines) peers_.addPeer(machine.host);
     if (!machines.empty()) updateRoles(machines);
     servers_.watch->start();
   });
@@ -381,9 +381,9 @@
   clients.relay = std::make_unique<source::RelayClient>(settings_.relay, topic, *clients.client,
                                                         peer_client_, held_, environment_);
   clients.relay->onFreshnessLost([this, topic] { onFreshnessLost(topic); });
-  clients.relay->onReaderFailed([this, topic](const std::string& host, const Error& error) {
+  clients.relay->onParentFailed([this, topic](const std::string& host, const Error& error) {
     writeLog(runtime::LogLevel::kInfo, "reader_failed",
-             {{"topic", std::string(source::topicWord(topic))},
+             {{"topic", std::string(source::topicName(topic))},
               {"reader", host},
               {"error", describe(error)}});
   });
@@ -395,7 +395,7 @@
       [this, topic](const Error& error) { onWatchFailed(topic, error); });
   clients.watch->onOutdated([this, topic](const source::WatchBatch& answer) {
     writeLog(runtime::LogLevel::kWarning, "source_outdated",
-             {{"topic", std::string(source::topicWord(topic))},
+             {{"topic", std::string(source::topicName(topic))},
               {"told", formatRevision(answer.revision)},
               {"held", formatRevision(held_.revision(topic))}});
   });
@@ -471,7 +471,7 @@
 
 void Implementation::onRestored(source::Topic topic, SourceRevision before) {
   writeLog(runtime::LogLevel::kWarning, "source_restored",
-           {{"topic", std::string(source::topicWord(topic))},
+           {{"topic", std::string(source::topicName(topic))},
             {"before", formatRevision(before)},
             {"revision", formatRevision(held_.revision(topic))},
             {"version", std::to_string(held_.version().value())},
@@ -485,7 +485,7 @@
 /// restored source lacks. Only readers ask; other nodes get the version from their reader.
 void Implementation::askPeersForLostVersion() {
   const bool reads_source = configuration_.relay->role() == source::ReaderRole::kReader;
-  if (reads_source) peers_.askSome(source::Topic::kConfiguration);
+  if (reads_source) peers_.askRandomPeers(source::Topic::kConfiguration);
 }
 
 void Implementation::onServersSettled(const source::ServerChanges& changes) {
@@ -542,7 +542,7 @@
   updateRoles(machinesOfNodes());
   for (const auto& [id, server] : egress_.directory().all()) {
     if (server->entry.address != settings_.two_hop.server)
-      peers_.notePeer(server->entry.address.host);
+      peers_.addPeer(server->entry.address.host);
   }
 }
 
@@ -590,7 +590,7 @@
 
 void Implementation::onWatchFailed(source::Topic topic, const Error& error) {
   writeLog(runtime::LogLevel::kWarning, "source_trouble",
-           {{"topic", std::string(source::topicWord(topic))}, {"error", describe(error)}});
+           {{"topic", std::string(source::topicName(topic))}, {"error", describe(error)}});
   peers_.onSourceFailed(topic);
   settling_.onSourceFailed(topic);
   configuration_.watch->start();
@@ -604,7 +604,7 @@
                     {{"error", describe(batch.error())}});
   }
   writeLog(runtime::LogLevel::kInfo, "peer_state",
-           {{"topic", std::string(source::topicWord(topic))},
+           {{"topic", std::string(source::topicName(topic))},
             {"revision", formatRevision(batch->revision)},
             {"version", std::to_string(held_.version().value())}});
   topicClients(topic).watch->resumeFrom(batch->revision);
@@ -628,16 +628,16 @@
   const source::ReaderRole role = plan.roleOf(own);
   if (role != servers_.relay->role()) {
     writeLog(runtime::LogLevel::kInfo, "source_role",
-             {{"role", std::string(roleWord(role))},
+             {{"role", std::string(roleName(role))},
               {"readers", std::to_string(plan.readers.size())},
               {"relays", std::to_string(plan.relays.size())}});
   }
-  const std::vector<std::string> parents = source::askingOrder(own, plan.parentsOf(role));
+  const std::vector<std::string> parents = source::parentOrder(own, plan.parentsOf(role));
   const bool is_relay = role == source::ReaderRole::kRelay;
   const std::size_t child_count = is_relay ? plan.relays.size() : machines.size();
-  servers_.relay->setReaders(parents, role, child_count);
-  configuration_.relay->setReaders(parents, role, child_count);
-  held_.rememberVersions(role == source::ReaderRole::kFollower ? 1 : kReaderVersionHistory);
+  servers_.relay->setParents(parents, role, child_count);
+  configuration_.relay->setParents(parents, role, child_count);
+  held_.keepVersions(role == source::ReaderRole::kFollower ? 1 : kReaderVersionHistory);
 }
 
 /// Updates the machines that share tenants' quotas. All nodes with the same machines compute the
@@ -704,7 +704,7 @@
     fields.push_back({"running", std::to_string(inputs.running)});
     fields.push_back({"waiting", std::to_string(inputs.waiting)});
   }
-  writeLog(runtime::LogLevel::kInfo, decisionWord(decision.kind), std::move(fields));
+  writeLog(runtime::LogLevel::kInfo, decisionName(decision.kind), std::move(fields));
 }
 
 /// Logs the decisions that were not logged individually. Runs once per kFoldInterval; see
@@ -712,7 +712,7 @@
 void Implementation::logFoldedDecisions() {
   for (const FoldedDecisions& folded : fold_.nextSecond()) {
     writeLog(runtime::LogLevel::kInfo, "decisions_folded",
-             {{"decision", std::string(decisionWord(folded.kind))},
+             {{"decision", std::string(decisionName(folded.kind))},
               {"side", folded.side},
               {"reason", folded.reason},
               {"count", std::to_string(folded.count)}});
@@ -730,7 +730,7 @@
 
 void Implementation::onServerChange(proxy::ServerChange change, const EndpointId& server) {
   if (settings_.log.decisions == runtime::DecisionLines::kNone) return;
-  writeLog(runtime::LogLevel::kInfo, changeWord(change), {{"server", server.value()}});
+  writeLog(runtime::LogLevel::kInfo, changeName(change), {{"server", server.value()}});
 }
 
 // ---- Settings
@@ -741,7 +741,7 @@
              change.needs_restart ? "setting_needs_restart" : "setting_changed",
              {{"key", change.key}, {"before", change.before}, {"after", change.after}});
   }
-  takeOver(settings_, settings);
+  applyChangeable(settings_, settings);
   egress_.changeSettings(egressSettings(settings_));
   retries_.changeSettings(settings_.retries);
   quota_pool_.changeSettings(settings_.quota);
--- a/src/proxy/concurrency_limit.cpp
+++ b/src/proxy/concurrency_limit.cpp
@@ -44,13 +44,13 @@
   was_refused_ = true;
   last_decrease_ = now;
   const double used = std::min(limit_, static_cast<double>(std::max<std::uint32_t>(in_flight, 1)));
-  limit_ = std::max(used * settings.decrease_factor, settings.lowest_limit);
+  limit_ = std::max(used * settings.decrease_factor, settings.min_limit);
 }
 
 Duration ConcurrencyLimit::pause(Duration service_time) const {
   if (limit_ >= 1.0) return Duration(0);
   const double pauses = 1.0 / limit_ - 1.0;
-  return part(service_time, pauses);
+  return fractionOf(service_time, pauses);
 }
 
 }  // namespace coursepond::proxy
--- a/src/proxy/deadline_queue.cpp
+++ b/src/proxy/deadline_queue.cpp
@@ -15,7 +15,7 @@
   ensureTimer();
 }
 
-void DeadlineQueue::bringForward(TimePoint latest) {
+void DeadlineQueue::capDeadlines(TimePoint latest) {
   while (!entries_.empty() && entries_.rbegin()->due_ > latest) {
     DeadlineEntry& entry = *entries_.rbegin();
     disarm(entry);
--- a/src/proxy/deadline_queue.h
+++ b/src/proxy/deadline_queue.h
@@ -42,7 +42,7 @@
   /// Calls entry.onDeadline() once at or after `due`. Replaces the deadline of an armed entry.
   void arm(DeadlineEntry& entry, TimePoint due);
   /// Moves all deadlines that are later than `latest` to `latest`.
-  void bringForward(TimePoint latest);
+  void capDeadlines(TimePoint latest);
   /// Cancels the deadline of the entry. Does nothing if it is not armed.
   void disarm(DeadlineEntry& entry);
 
--- a/src/proxy/decaying_average.cpp
+++ b/src/proxy/decaying_average.cpp
@@ -18,7 +18,7 @@
 
 double DecayingAverage::value(TimePoint now, double baseline, Duration half_life) const {
   if (empty_ || value_ == baseline) return baseline;
-  return baseline + (value_ - baseline) * leftAfter(now - last_sample_, half_life);
+  return baseline + (value_ - baseline) * decayFactor(now - last_sample_, half_life);
 }
 
 }  // namespace coursepond::proxy
--- a/src/proxy/decision_log.cpp
+++ b/src/proxy/decision_log.cpp
@@ -2,7 +2,7 @@
 
 namespace coursepond::proxy {
 
-std::string_view decisionWord(DecisionKind kind) {
+std::string_view decisionName(DecisionKind kind) {
   switch (kind) {
     case DecisionKind::kForwarded:
       return "forwarded";
@@ -20,7 +20,7 @@
   return "unknown";
 }
 
-std::string_view changeWord(ServerChange change) {
+std::string_view changeName(ServerChange change) {
   switch (change) {
     case ServerChange::kListed:
       return "server_listed";
--- a/src/proxy/decision_log.h
+++ b/src/proxy/decision_log.h
@@ -21,7 +21,7 @@
 };
 
 /// Returns the name for log lines, such as "attempt_ended".
-std::string_view decisionWord(DecisionKind kind);
+std::string_view decisionName(DecisionKind kind);
 
 /// Values of Decision::side.
 inline constexpr std::string_view kEgressSide = "egress";
@@ -63,7 +63,7 @@
 };
 
 /// Returns the name for log lines, such as "server_listed".
-std::string_view changeWord(ServerChange change);
+std::string_view changeName(ServerChange change);
 
 class DecisionLog {
  public:
--- a/src/proxy/reason.cpp
+++ b/src/proxy/reason.cpp
@@ -2,7 +2,7 @@
 
 namespace coursepond::proxy {
 
-std::string_view reasonWord(Reason reason) {
+std::string_view reasonName(Reason reason) {
   switch (reason) {
     case Reason::kNoConfiguration:
       return "no_configuration";
@@ -62,7 +62,7 @@
   return "unknown";
 }
 
-std::string_view failureWord(AttemptFailure failure) {
+std::string_view failureName(AttemptFailure failure) {
   switch (failure) {
     case AttemptFailure::kConnectFailed:
       return "connect_failed";
--- a/src/proxy/reason.h
+++ b/src/proxy/reason.h
@@ -38,9 +38,9 @@
 };
 
 /// Returns the stable name for X-Reason, such as "queue_full".
-std::string_view reasonWord(Reason reason);
+std::string_view reasonName(Reason reason);
 
 /// Returns the stable name for an attempt without an answer, such as "connect_failed".
-std::string_view failureWord(AttemptFailure failure);
+std::string_view failureName(AttemptFailure failure);
 
 }  // namespace coursepond::proxy
--- a/src/proxy/request_flow.cpp
+++ b/src/proxy/request_flow.cpp
@@ -17,7 +17,7 @@
 constexpr int kGatewayTimeout = 504;
 
 /// Minimum deadline that is sent to the next hop, for which zero would mean "expired".
-constexpr Duration kLeastRemaining = std::chrono::milliseconds(1);
+constexpr Duration kMinRemaining = std::chrono::milliseconds(1);
 /// A timeout counts as a failure of the server if it had at least the route's timeout divided by
 /// this.
 constexpr Duration::rep kBlameDivisor = 2;
@@ -214,7 +214,7 @@
   plan.id = attempt_;
   plan.service = route_->service;
   plan.endpoint = server_->endpoint;
-  plan.remaining = std::max(deadline_ - now - parts_.settings.deadline_reserve, kLeastRemaining);
+  plan.remaining = std::max(deadline_ - now - parts_.settings.deadline_reserve, kMinRemaining);
   plan.replayable = !is_part_of_retry_ && charged_attempts_ + 1 < service_->service().max_attempts;
   plan.headers_to_set.reserve(2 + route_->secrets.size());
   plan.headers_to_set.push_back({http_headers::kAttempt, std::to_string(attempt_)});
@@ -376,7 +376,7 @@
 
 LocalAnswer RequestFlow::Implementation::makeAnswer(Reason reason) const {
   LocalAnswer answer;
-  answer.reason = std::string(reasonWord(reason));
+  answer.reason = std::string(reasonName(reason));
   if (reason == Reason::kNoRoute) {
     answer.status = kNotFound;
   } else if (reason == Reason::kAmbiguousPath) {
--- a/src/proxy/retry_accounts.cpp
+++ b/src/proxy/retry_accounts.cpp
@@ -15,7 +15,7 @@
 constexpr Duration kFewerNodesDelay = std::chrono::seconds(30);
 /// A run may be refused if its probability of being a repeat is at least this.
 constexpr double kProbableRepeat = 0.5;
-/// Fraction of a node's share of the burst that RepeatUse::kHalf leaves unused.
+/// Fraction of a node's share of the burst that RetryBudgetUse::kHalf leaves unused.
 constexpr double kReservedByHalf = 0.5;
 /// Half of the share is reserved for repeats of a service until none was wanted for this time,
 /// which is several service times of a busy server.
@@ -23,11 +23,13 @@
 /// Resolution of a random draw from 0 to 1.
 constexpr std::uint64_t kDrawSteps = 1'000'000;
 
-double reservedShare(RepeatUse use) { return use == RepeatUse::kHalf ? kReservedByHalf : 0; }
+double reservedShare(RetryBudgetUse use) {
+  return use == RetryBudgetUse::kHalf ? kReservedByHalf : 0;
+}
 
 }  // namespace
 
-std::string_view repeatWord(RepeatReason reason) {
+std::string_view repeatReasonName(RepeatReason reason) {
   switch (reason) {
     case RepeatReason::kServerFailed:
       return "server_failed";
@@ -126,7 +128,8 @@
   account.allowance.charge(cost);
 }
 
-bool RetryAccounts::takeRepeat(const ServiceName& service, RepeatReason reason, RepeatUse use) {
+bool RetryAccounts::spendRepeat(const ServiceName& service, RepeatReason reason,
+                                RetryBudgetUse use) {
   RetryAccount& account = this->account(service);
   account.last_asked = environment_.now();
   if (!account.allowance.take(1, reservedShare(use), draw())) {
@@ -137,7 +140,7 @@
   return true;
 }
 
-void RetryAccounts::giveBackRepeat(const ServiceName& service) {
+void RetryAccounts::refundRepeat(const ServiceName& service) {
   RetryAccount& account = this->account(service);
   ++account.statistics.given_back;
   account.allowance.giveBack(1);
--- a/src/proxy/retry_accounts.h
+++ b/src/proxy/retry_accounts.h
@@ -38,10 +38,10 @@
 inline constexpr std::size_t kRepeatReasons = 6;
 
 /// Returns the stable name for metrics and log lines, such as "server_failed".
-std::string_view repeatWord(RepeatReason reason);
+std::string_view repeatReasonName(RepeatReason reason);
 
 /// How much of the retry budget a repeat may use.
-enum class RepeatUse {
+enum class RetryBudgetUse {
   kAll,
   /// Leaves half of the node's share to other repeats, because this one is less useful or costs
   /// more.
@@ -113,9 +113,9 @@
   const ServerRun* callerOf(std::string_view request) const { return parentOf(request); }
   /// Charges a repeat if the budget covers it. Returns whether the request may be sent to a further
   /// server.
-  bool takeRepeat(const ServiceName& service, RepeatReason reason, RepeatUse use);
+  bool spendRepeat(const ServiceName& service, RepeatReason reason, RetryBudgetUse use);
   /// Refunds the last repeat for this service because it reached no server.
-  void giveBackRepeat(const ServiceName& service);
+  void refundRepeat(const ServiceName& service);
 
   // ---- Ingress
 
--- a/src/proxy/settings.h
+++ b/src/proxy/settings.h
@@ -39,7 +39,7 @@
   double full_report_load = 0.95;
   /// Minimum of the limit. Below one, the node pauses for (1 / limit - 1) service times between two
   /// requests.
-  double lowest_limit = 0.125;
+  double min_limit = 0.125;
 };
 
 /// Settings for the ejection of failing servers.
--- a/src/runtime/caller_connection.cpp
+++ b/src/runtime/caller_connection.cpp
@@ -92,7 +92,8 @@
 /// Reads the head of the next request. Returns false while bytes are missing or belong to a body.
 bool CallerConnection::readHead() {
   if (!exchanges_.empty()) {
-    const bool reads_ahead = shared_->source.runs_beside && exchanges_.back()->requestComplete();
+    const bool reads_ahead =
+        shared_->source.may_run_concurrently && exchanges_.back()->requestComplete();
     if (!reads_ahead) return false;
   }
   if (!next_) next_ = takeExchange();
@@ -131,7 +132,7 @@
   const std::size_t held = std::accumulate(
       exchanges_.begin(), exchanges_.end(), std::size_t{0},
       [](std::size_t sum, const ExchangePointer& each) { return sum + each->output().size(); });
-  return held <= shared_->settings.whole_answer_bytes;
+  return held <= shared_->settings.buffered_answer_bytes;
 }
 
 void CallerConnection::beginNext() {
--- a/src/runtime/caller_exchange.cpp
+++ b/src/runtime/caller_exchange.cpp
@@ -57,7 +57,7 @@
   head_ = proxy::RequestHead();
   const auto refusal = checkRequest(parser_.head(), shared_.request_ids, request_, head_);
   if (refusal) return refusal;
-  const auto& source_allows = shared_.source.runs_beside;
+  const auto& source_allows = shared_.source.may_run_concurrently;
   may_run_concurrently_ =
       source_allows && parser_.head().framing == BodyFraming::kNone && source_allows(head_);
   return std::nullopt;
@@ -357,7 +357,7 @@
 }
 
 bool CallerExchange::isCollectable(const MessageHead& head) const {
-  const std::size_t bound = shared_.settings.whole_answer_bytes;
+  const std::size_t bound = shared_.settings.buffered_answer_bytes;
   if (bound == 0) return false;
   return head.framing != BodyFraming::kLength || head.content_length <= bound;
 }
@@ -408,7 +408,7 @@
 void CallerExchange::onUpstreamBody(std::string_view piece) {
   if (collecting_) {
     collected_.append(piece);
-    if (collected_.size() > shared_.settings.whole_answer_bytes) stopCollecting();
+    if (collected_.size() > shared_.settings.buffered_answer_bytes) stopCollecting();
     return;
   }
   if (!forwarding_) return;
@@ -479,7 +479,7 @@
 void CallerExchange::refuse(RefusalReason reason) {
   ++shared_.statistics.refusals[static_cast<std::size_t>(reason)];
   close_after_ = true;
-  writeLocal({statusOf(reason), proxy::Outcome::kNotRun, std::string(reasonWord(reason)), {}});
+  writeLocal({statusOf(reason), proxy::Outcome::kNotRun, std::string(reasonName(reason)), {}});
 }
 
 /// Refuses a request whose body turned out to be malformed or too slow while it was being
@@ -491,7 +491,7 @@
   close_after_ = true;
   if (forwarding_) return connection_.cut();
   const auto outcome = may_have_run ? proxy::Outcome::kUnknown : proxy::Outcome::kNotRun;
-  writeLocal({statusOf(reason), outcome, std::string(reasonWord(reason)), {}});
+  writeLocal({statusOf(reason), outcome, std::string(reasonName(reason)), {}});
 }
 
 // ---- Ordering and completion
--- a/src/runtime/caller_request.cpp
+++ b/src/runtime/caller_request.cpp
@@ -188,7 +188,7 @@
   constexpr double kMaxSeconds = 86400;
   const auto seconds = parseNumber<double>(text);
   if (!seconds || !(*seconds >= 0 && *seconds <= kMaxSeconds)) return std::nullopt;
-  return inSeconds(*seconds);
+  return durationFromSeconds(*seconds);
 }
 
 /// Parses "busy/slots" or the format of parseListedLoad() and returns the load as a ratio.
--- a/src/runtime/http_client.cpp
+++ b/src/runtime/http_client.cpp
@@ -124,7 +124,7 @@
         timer_(client_->context()),
         callback_(std::move(callback)),
         stall_limit_(request.stall_limit),
-        longest_answer_(request.longest_answer.value_or(client_->limits().longest_answer)) {
+        answer_timeout_(request.answer_timeout.value_or(client_->limits().answer_timeout)) {
     fill(std::move(request));
   }
 
@@ -233,7 +233,7 @@
   void onProgress() {
     if (!stall_limit_) return;
     const Clock::time_point now = Clock::now();
-    if (!answer_deadline_) answer_deadline_ = now + longest_answer_;
+    if (!answer_deadline_) answer_deadline_ = now + answer_timeout_;
     due_ = std::min(now + *stall_limit_, *answer_deadline_);
     // The timer rechecks the deadline when it fires; only an earlier deadline needs a new timer.
     if (due_ < timer_.expiry()) armTimer();
@@ -296,7 +296,7 @@
   BootTimer timer_;
   Callback callback_;
   std::optional<Duration> stall_limit_;
-  Duration longest_answer_;
+  Duration answer_timeout_;
   Clock::time_point due_;
   std::optional<Clock::time_point> answer_deadline_;  ///< Set once the answer has begun.
   std::unique_ptr<Connection> connection_;
--- a/src/runtime/http_client.h
+++ b/src/runtime/http_client.h
@@ -22,7 +22,7 @@
   Duration idle_timeout = std::chrono::seconds(30);  ///< An idle connection is closed after this.
   /// Upper bound for receiving an answer after its first byte, even while bytes keep arriving. This
   /// is 40 times what the largest known configuration (1.3 MB) takes over 10 Mbit/s.
-  Duration longest_answer = std::chrono::seconds(40);
+  Duration answer_timeout = std::chrono::seconds(40);
 };
 
 class HttpClient {
--- a/src/runtime/http_message.h
+++ b/src/runtime/http_message.h
@@ -54,7 +54,7 @@
   std::optional<Duration> stall_limit = std::nullopt;
   /// With a stall limit: upper bound for receiving the answer after its first byte. If not set, the
   /// client's own limit (HttpClientLimits) applies.
-  std::optional<Duration> longest_answer = std::nullopt;
+  std::optional<Duration> answer_timeout = std::nullopt;
 };
 
 /// An answer that the one-shot client received completely.
--- a/src/runtime/http_server.cpp
+++ b/src/runtime/http_server.cpp
@@ -47,7 +47,7 @@
   virtual void sendChunk(std::string bytes) = 0;
   virtual void finish() = 0;
   virtual void cut() = 0;
-  virtual void onCallerGone(std::function<void()> callback) = 0;
+  virtual void onCallerDisconnected(std::function<void()> callback) = 0;
 };
 
 namespace {
@@ -64,7 +64,7 @@
   void sendChunk(std::string bytes) override;
   void finish() override;
   void cut() override;
-  void onCallerGone(std::function<void()> callback) override;
+  void onCallerDisconnected(std::function<void()> callback) override;
 
  private:
   std::shared_ptr<Session> session_;  ///< Null once the answer is complete.
@@ -421,7 +421,7 @@
   if (session_) std::exchange(session_, nullptr)->close();
 }
 
-void SessionChannel::onCallerGone(std::function<void()> callback) {
+void SessionChannel::onCallerDisconnected(std::function<void()> callback) {
   if (session_) session_->setGoneCallback(std::move(callback));
 }
 
@@ -433,8 +433,8 @@
 void HttpResponder::sendChunk(std::string bytes) const { channel_->sendChunk(std::move(bytes)); }
 void HttpResponder::finish() const { channel_->finish(); }
 void HttpResponder::cut() const { channel_->cut(); }
-void HttpResponder::onCallerGone(std::function<void()> callback) const {
-  channel_->onCallerGone(std::move(callback));
+void HttpResponder::onCallerDisconnected(std::function<void()> callback) const {
+  channel_->onCallerDisconnected(std::move(callback));
 }
 
 class HttpServer::Implementation : public std::enable_shared_from_this<Implementation> {
--- a/src/runtime/http_server.h
+++ b/src/runtime/http_server.h
@@ -57,7 +57,7 @@
   void cut() const;
 
   /// Calls `callback` once if the caller leaves before the answer is complete.
-  void onCallerGone(std::function<void()> callback) const;
+  void onCallerDisconnected(std::function<void()> callback) const;
 
  private:
   std::shared_ptr<Channel> channel_;
--- a/src/runtime/peer_queue.cpp
+++ b/src/runtime/peer_queue.cpp
@@ -5,15 +5,15 @@
 namespace coursepond::runtime {
 namespace {
 
-StateMessageKind recordPushKind(distribution::Spread spread) {
+StateMessageKind recordPushKind(distribution::ForwardMode spread) {
   switch (spread) {
-    case distribution::Spread::kDirect:
+    case distribution::ForwardMode::kDirect:
       return StateMessageKind::kRecordPush;
-    case distribution::Spread::kZone:
+    case distribution::ForwardMode::kZone:
       return StateMessageKind::kRecordPushZone;
-    case distribution::Spread::kFirstTree:
+    case distribution::ForwardMode::kFirstTree:
       return StateMessageKind::kRecordPushFirstTree;
-    case distribution::Spread::kSecondTree:
+    case distribution::ForwardMode::kSecondTree:
       return StateMessageKind::kRecordPushSecondTree;
   }
   return StateMessageKind::kRecordPush;
--- a/src/runtime/peer_transport.cpp
+++ b/src/runtime/peer_transport.cpp
@@ -297,7 +297,7 @@
 
 /// The peer is alive and asked this node to retry later, so its queued messages are kept.
 void Implementation::onDeferred(const SessionPointer& session, Duration retry_after) {
-  ++statistics_.told_later;
+  ++statistics_.handshakes_deferred_by_peer;
   const NodeId id = session->peer;
   closeSession(session);
   const Duration limit = std::clamp(retry_after, Duration::zero(), kDeferDelay);
--- a/src/runtime/peer_transport.h
+++ b/src/runtime/peer_transport.h
@@ -25,7 +25,7 @@
   std::uint64_t connect_failures = 0;  ///< Unreachable, refused, or no handshake in time.
   std::uint64_t accepts = 0;  ///< Connections that peers opened, with a completed handshake.
   std::uint64_t handshakes_deferred = 0;  ///< Handshakes that this node answered with "later".
-  std::uint64_t told_later = 0;           ///< Handshakes that a peer answered with "later".
+  std::uint64_t handshakes_deferred_by_peer = 0;  ///< Handshakes that a peer answered with "later".
   std::uint64_t closed_idle = 0;
   std::uint64_t closed_stalled = 0;  ///< A write made no progress.
   std::uint64_t messages_replaced = 0;
--- a/src/runtime/promises.cpp
+++ b/src/runtime/promises.cpp
@@ -48,12 +48,12 @@
 constexpr double kConfigurationWaitPart = 0.5;
 
 void deriveRelay(Duration shorter, source::RelaySettings& relay) {
-  relay.source_wait = part(shorter, kRelayWaitPart);
-  relay.source_slack = part(shorter, kSourceSlackPart);
-  relay.peer_wait = part(shorter, kRelayWaitPart);
-  relay.peer_slack = part(shorter, kPeerSlackPart);
-  relay.stall_limit = part(shorter, kStallPart);
-  relay.configuration_wait = part(shorter, kConfigurationWaitPart);
+  relay.source_wait = fractionOf(shorter, kRelayWaitPart);
+  relay.source_slack = fractionOf(shorter, kSourceSlackPart);
+  relay.peer_wait = fractionOf(shorter, kRelayWaitPart);
+  relay.peer_slack = fractionOf(shorter, kPeerSlackPart);
+  relay.stall_limit = fractionOf(shorter, kStallPart);
+  relay.configuration_wait = fractionOf(shorter, kConfigurationWaitPart);
 }
 
 void derivePropagation(const Promises& promises, Settings& settings) {
@@ -75,7 +75,7 @@
   node.stop_delay = std::min(kReadinessDetectionTime, available * 3 / 5);
   node.stop_grace = kStopGrace;
   const Duration rest = std::max(Duration(0), available - node.stop_delay - kStopGrace);
-  node.stop_linger = part(rest, kLingerPart);
+  node.stop_linger = fractionOf(rest, kLingerPart);
   node.stop_timeout = rest - node.stop_linger;
 }
 
--- a/src/runtime/proxy_refusal.cpp
+++ b/src/runtime/proxy_refusal.cpp
@@ -34,7 +34,7 @@
 
 int statusOf(RefusalReason reason) { return entryOf(reason).status; }
 
-std::string_view reasonWord(RefusalReason reason) { return entryOf(reason).word; }
+std::string_view reasonName(RefusalReason reason) { return entryOf(reason).word; }
 
 RefusalReason refusalOf(ParseFailure failure) {
   switch (failure) {
--- a/src/runtime/proxy_refusal.h
+++ b/src/runtime/proxy_refusal.h
@@ -35,7 +35,7 @@
 /// Returns the HTTP status of the refusal.
 int statusOf(RefusalReason reason);
 /// Returns the stable word for X-Reason and metrics, for example "ambiguous_length".
-std::string_view reasonWord(RefusalReason reason);
+std::string_view reasonName(RefusalReason reason);
 /// Returns the refusal for a parse failure. `failure` must not be kNone.
 RefusalReason refusalOf(ParseFailure failure);
 
--- a/src/runtime/proxy_server.h
+++ b/src/runtime/proxy_server.h
@@ -51,9 +51,9 @@
   bool exact_retry_after = false;  ///< Retry-After in fractions of a second.
   /// Answers up to this length are buffered until they are complete. If one breaks off, it counts
   /// as no answer and the request may be retried elsewhere. Zero: every answer is streamed.
-  std::size_t whole_answer_bytes = 0;
+  std::size_t buffered_answer_bytes = 0;
   /// Maximum number of requests of one connection that run at the same time, if that is allowed;
-  /// see ExchangeSource::runs_beside. Further requests are not read until one completes.
+  /// see ExchangeSource::may_run_concurrently. Further requests are not read until one completes.
   std::size_t max_concurrent_requests = 8;
   /// Called with the IP address of each caller that connects. May be empty.
   std::function<void(const std::string& host)> on_caller;
@@ -70,7 +70,7 @@
   std::function<void()> begin_stop;  ///< Refuses new requests from now on.
   /// Whether a request without a body may start while earlier requests of its connection are still
   /// running. Its caller sends it again if the connection ends early. Empty: never.
-  std::function<bool(const proxy::RequestHead&)> runs_beside;
+  std::function<bool(const proxy::RequestHead&)> may_run_concurrently;
 };
 
 /// Returns the source for a node that reaches servers directly. Both arguments must outlive the
--- a/src/runtime/settings_change.cpp
+++ b/src/runtime/settings_change.cpp
@@ -34,7 +34,7 @@
   return changes;
 }
 
-void takeOver(Settings& held, const Settings& newer) {
+void applyChangeable(Settings& held, const Settings& newer) {
   const Duration backoff_base = held.watch.backoff_base;
   const Duration backoff_limit = held.watch.backoff_limit;
   held.promises = newer.promises;
--- a/src/runtime/settings_change.h
+++ b/src/runtime/settings_change.h
@@ -25,6 +25,6 @@
 bool isChangeable(std::string_view full_name);
 
 /// Copies the changeable settings from `newer` to `held`.
-void takeOver(Settings& held, const Settings& newer);
+void applyChangeable(Settings& held, const Settings& newer);
 
 }  // namespace coursepond::runtime
--- a/src/runtime/settings_keys.cpp
+++ b/src/runtime/settings_keys.cpp
@@ -391,10 +391,10 @@
       FIELD(relay.stall_limit)));
   keys.push_back(millisecondsKey(section, "avoid_silent_ms", {0, kMinuteMs},
                                  "How long a node that did not answer is not queried.",
-                                 FIELD(relay.avoid_silent)));
+                                 FIELD(relay.avoid_silent_parent)));
   keys.push_back(millisecondsKey(section, "avoid_unfit_ms", {0, kMinuteMs},
                                  "The same for a node that does not currently read the source.",
-                                 FIELD(relay.avoid_unfit)));
+                                 FIELD(relay.avoid_stale_parent)));
   keys.push_back(
       millisecondsKey(section, "avoid_source_ms", {0, kMinuteMs},
                       "How long a reader that the source refused queries other nodes instead.",
@@ -458,7 +458,7 @@
   keys.push_back(
       percentKey(section, "patience_percent", {0, 100},
                  "How long a request waits for a server to appear, relative to its target latency.",
-                 FIELD(egress.patience)));
+                 FIELD(egress.server_wait_share)));
 }
 
 void addIngressKeys(Keys& keys) {
@@ -506,7 +506,7 @@
   add("instance", "In a server's answer: its instance.", FIELD(headers.instance));
   add("cold_left",
       "In a server's answer to a health probe: number of milliseconds until it is warm.",
-      FIELD(headers.cold_left));
+      FIELD(headers.cold_remaining));
 }
 
 void addAdminKeys(Keys& keys) {
--- a/src/source/held_servers.cpp
+++ b/src/source/held_servers.cpp
@@ -17,7 +17,7 @@
 model::ServerEntry mergeSameStart(const model::ServerEntry& held, model::ServerEntry entry) {
   const bool is_leaving = held.state == model::MachineState::kLeaving;
   if (is_leaving) entry.state = held.state;
-  entry.warm_up_left = std::min(entry.warm_up_left, held.warm_up_left);
+  entry.remaining_warm_up = std::min(entry.remaining_warm_up, held.remaining_warm_up);
   return entry;
 }
 
@@ -60,7 +60,7 @@
 /// entry is newer: it may come from an old copy.
 void HeldServers::putAfterRestore(const model::ServerEntry& entry, ServerChanges& changes) {
   const model::ServerEntry& held = servers_.at(entry.id);
-  if (isSameStart(held, entry)) return store(mergeSameStart(held, entry), changes);
+  if (isSameInstance(held, entry)) return store(mergeSameStart(held, entry), changes);
   if (entry.started_ms >= held.started_ms) return store(entry, changes);
   unconfirmed_.insert(entry.id);
 }
@@ -114,7 +114,7 @@
 /// contains.
 bool HeldServers::wasRemoved(const model::ServerEntry& entry) const {
   return std::any_of(removals_.begin(), removals_.end(), [&entry](const Removal& removal) {
-    return isSameStart(removal.entry, entry) && entry.revision.number <= removal.revision.number;
+    return isSameInstance(removal.entry, entry) && entry.revision.number <= removal.revision.number;
   });
 }
 
--- a/src/source/held_state.cpp
+++ b/src/source/held_state.cpp
@@ -51,7 +51,7 @@
   return true;
 }
 
-void HeldState::rememberVersions(std::size_t count) {
+void HeldState::keepVersions(std::size_t count) {
   remembered_versions_ = std::max<std::size_t>(count, 1);
   dropOldVersions();
 }
--- a/src/source/held_state.h
+++ b/src/source/held_state.h
@@ -36,7 +36,7 @@
 
   /// Sets how many versions, the newest included, are kept as bases of deltas. A node with an older
   /// version is sent the whole configuration.
-  void rememberVersions(std::size_t count);
+  void keepVersions(std::size_t count);
 
   /// Returns the changes of servers since `after`.
   StateUpdate serversSince(SourceRevision after) const { return servers_.since(after); }
@@ -55,7 +55,7 @@
     return topic == Topic::kServers ? servers_.revision() : configuration_revision_;
   }
   /// Increases whenever the state that is sent for the topic changes, its revision included.
-  std::uint64_t edition(Topic topic) const {
+  std::uint64_t changeCount(Topic topic) const {
     return topic == Topic::kServers ? servers_edition_ : configuration_edition_;
   }
   const HeldServers& servers() const { return servers_; }
--- a/src/source/peer_reader.cpp
+++ b/src/source/peer_reader.cpp
@@ -10,7 +10,7 @@
 
 /// Upper bound for remembered peers. More would not provide any newer state.
 constexpr std::size_t kMaxPeers = 256;
-/// Number of peers that askSome() asks: some may be unreachable or have just started.
+/// Number of peers that askRandomPeers() asks: some may be unreachable or have just started.
 constexpr std::size_t kPeersAskedAtOnce = 3;
 
 /// Returns the version that the update leads to, or none if it contains no configuration.
@@ -31,7 +31,7 @@
 
 PeerReader::~PeerReader() { environment_.cancel(timer_); }
 
-void PeerReader::notePeer(const std::string& host) {
+void PeerReader::addPeer(const std::string& host) {
   if (peers_.size() < kMaxPeers) peers_.insert(host);
 }
 
@@ -57,15 +57,15 @@
   schedule(Duration(static_cast<Duration::rep>(half + environment_.random(half + 1))));
   if (peers_.empty()) return;
   const std::string peer = randomPeer();
-  for (const Topic topic : failing_) askAbout(topic, peer);
+  for (const Topic topic : failing_) askPeer(topic, peer);
 }
 
-void PeerReader::askAbout(Topic topic, const std::string& peer) {
+void PeerReader::askPeer(Topic topic, const std::string& peer) {
   if (!in_flight_.insert(topic).second) return;
   read(topic, peer, [this, topic] { in_flight_.erase(topic); });
 }
 
-void PeerReader::askSome(Topic topic) {
+void PeerReader::askRandomPeers(Topic topic) {
   std::vector<std::string> peers(peers_.begin(), peers_.end());
   for (std::size_t left = std::min(kPeersAskedAtOnce, peers.size()); left > 0; --left) {
     const std::size_t index = environment_.random(peers.size());
@@ -76,7 +76,7 @@
 
 void PeerReader::read(Topic topic, const std::string& peer, std::function<void()> on_answered) {
   ++asked_;
-  const PeerQuestion question{topic, held_.revision(topic), held_.version(), Duration(0), false};
+  const StateRequest question{topic, held_.revision(topic), held_.version(), Duration(0), false};
   client_.read(
       peer, question, settings_.timeout,
       [this, topic, on_answered = std::move(on_answered),
--- a/src/source/peer_reader.h
+++ b/src/source/peer_reader.h
@@ -18,7 +18,7 @@
 namespace coursepond::source {
 
 /// A request for another node's state.
-struct PeerQuestion {
+struct StateRequest {
   Topic topic = Topic::kServers;
   SourceRevision after;  ///< The asker knows the servers or the drained zones up to it.
   Version version;       ///< kConfiguration: the version that the asker holds.
@@ -36,7 +36,7 @@
  public:
   virtual ~PeerStateClient() = default;
   /// Asks the node on `host` for everything newer than what `question` says the asker holds.
-  virtual void read(const std::string& host, const PeerQuestion& question, Duration timeout,
+  virtual void read(const std::string& host, const StateRequest& question, Duration timeout,
                     PeerStateCallback callback) = 0;
 };
 
@@ -62,16 +62,16 @@
 
   /// Adds a machine that runs a node. Called also for nodes that connect to this one, so that a
   /// node that does not know any machine yet finds peers.
-  void notePeer(const std::string& host);
+  void addPeer(const std::string& host);
   /// Called when a read of `topic` from the source failed or succeeded. Peers are asked about the
   /// topics whose reads fail.
   void onSourceFailed(Topic topic);
   void onSourceAnswered(Topic topic);
   /// Asks a few peers at once, even while the source answers: a restored source may have lost a
   /// version that a peer still holds.
-  void askSome(Topic topic);
+  void askRandomPeers(Topic topic);
   /// Asks `peer`, unless a question about the topic is in flight.
-  void askAbout(Topic topic, const std::string& peer);
+  void askPeer(Topic topic, const std::string& peer);
 
   std::uint64_t asked() const { return asked_; }
   std::uint64_t learned() const { return learned_; }
--- a/src/source/reader_choice.cpp
+++ b/src/source/reader_choice.cpp
@@ -57,7 +57,7 @@
   return machines;
 }
 
-std::string_view roleWord(ReaderRole role) {
+std::string_view roleName(ReaderRole role) {
   switch (role) {
     case ReaderRole::kReader:
       return "reader";
@@ -97,7 +97,7 @@
   return plan;
 }
 
-std::vector<std::string> askingOrder(const NodeMachine& own, std::span<const NodeMachine> readers) {
+std::vector<std::string> parentOrder(const NodeMachine& own, std::span<const NodeMachine> readers) {
   const std::uint64_t salt = membership::stableHash(own.host);
   std::vector<std::tuple<bool, std::uint64_t, std::string>> order;
   for (const NodeMachine& reader : readers) {
--- a/src/source/reader_choice.h
+++ b/src/source/reader_choice.h
@@ -56,7 +56,7 @@
 };
 
 /// Returns the name of the role in logs, such as "reader".
-std::string_view roleWord(ReaderRole role);
+std::string_view roleName(ReaderRole role);
 
 struct ReaderPlan {
   std::vector<NodeMachine> readers;
@@ -75,6 +75,6 @@
 /// Returns `readers` without `own`, in the order in which `own` asks them: those of its own zone
 /// first. The order differs from node to node, so that the nodes of a failed reader spread over the
 /// other readers.
-std::vector<std::string> askingOrder(const NodeMachine& own, std::span<const NodeMachine> readers);
+std::vector<std::string> parentOrder(const NodeMachine& own, std::span<const NodeMachine> readers);
 
 }  // namespace coursepond::source
--- a/src/source/reader_discovery.cpp
+++ b/src/source/reader_discovery.cpp
@@ -49,7 +49,7 @@
   const ReaderPlan plan = planReaders(machines, {});
   const ReaderRole role = plan.roleOf(own_);
   if (role == ReaderRole::kReader) return finish({});
-  candidates_ = askingOrder(own_, plan.parentsOf(role));
+  candidates_ = parentOrder(own_, plan.parentsOf(role));
   askNext();
 }
 
@@ -58,7 +58,7 @@
   // A stale answer is good enough: only the machines are needed from it, and it is never put in
   // force.
   peers_.read(
-      candidates_[asked_++], PeerQuestion{}, settings_.peer_timeout,
+      candidates_[asked_++], StateRequest{}, settings_.peer_timeout,
       [this, alive = std::weak_ptr<int>(alive_)](const Result<std::optional<StateUpdate>>& answer) {
         if (!alive.expired()) onPeerAnswer(answer);
       });
--- a/src/source/relay_client.cpp
+++ b/src/source/relay_client.cpp
@@ -53,7 +53,7 @@
   return settings_.configuration_wait + settings_.peer_slack / 2;
 }
 
-void RelayClient::setReaders(std::vector<std::string> parents, ReaderRole role, std::size_t nodes) {
+void RelayClient::setParents(std::vector<std::string> parents, ReaderRole role, std::size_t nodes) {
   parents_ = std::move(parents);
   nodes_ = nodes;
   role_ = role;
@@ -137,7 +137,7 @@
 bool RelayClient::readsAsFallback() const {
   const bool must_read = topic_ == Topic::kServers || held_.configuration() == nullptr;
   if (isReader() || must_read || nodes_ == 0) return true;
-  return happens(environment_, kExpectedFallbackReaders / static_cast<double>(nodes_));
+  return randomBool(environment_, kExpectedFallbackReaders / static_cast<double>(nodes_));
 }
 
 // ---- The source
@@ -217,7 +217,7 @@
   read->asked = environment_.now();
   // A relay stays fresh: nodes keep waiting at it, since it gets its parent's answer shortly after.
   if (role_ != ReaderRole::kRelay) loseFreshness();
-  PeerQuestion question;
+  StateRequest question;
   question.topic = topic_;
   question.after = read->after;
   question.version = read->version;
@@ -257,7 +257,7 @@
   read->failure = batch.error();
   const bool was_whole = read->version == Version();
   read->version = Version();
-  if (was_whole) avoided_until_[host] = environment_.now() + settings_.avoid_silent;
+  if (was_whole) avoided_until_[host] = environment_.now() + settings_.avoid_silent_parent;
   step(read);
 }
 
@@ -266,8 +266,8 @@
   ++statistics_.peer_failures;
   if (on_reader_failed_) on_reader_failed_(host, error);
   const bool is_unfit = error.kind == ErrorKind::kOverloaded;
-  avoided_until_[host] =
-      environment_.now() + (is_unfit ? settings_.avoid_unfit : settings_.avoid_silent);
+  avoided_until_[host] = environment_.now() +
+                         (is_unfit ? settings_.avoid_stale_parent : settings_.avoid_silent_parent);
   read->failure = error;
   step(read);
 }
--- a/src/source/relay_client.h
+++ b/src/source/relay_client.h
@@ -40,9 +40,9 @@
   /// configuration of 5,000 routes.
   Duration stall_limit = std::chrono::milliseconds(700);
   /// Time for which a parent that did not answer is not asked.
-  Duration avoid_silent = std::chrono::seconds(4);
+  Duration avoid_silent_parent = std::chrono::seconds(4);
   /// The same for a parent that answered that it is not fresh.
-  Duration avoid_unfit = std::chrono::milliseconds(500);
+  Duration avoid_stale_parent = std::chrono::milliseconds(500);
   /// Time for which a node does not read the source after a failed read, and asks others instead.
   Duration avoid_source = std::chrono::seconds(2);
 };
@@ -63,11 +63,11 @@
 
   /// Sets this node's role and its parents (readers or relays) in the order in which to ask them.
   /// `nodes`: number of nodes with the same parents, this one included; zero if unknown.
-  void setReaders(std::vector<std::string> parents, ReaderRole role, std::size_t nodes = 0);
+  void setParents(std::vector<std::string> parents, ReaderRole role, std::size_t nodes = 0);
   /// Called when this node is no longer fresh; see isFresh().
   void onFreshnessLost(std::function<void()> callback) { on_freshness_lost_ = std::move(callback); }
   /// Called when a parent did not answer or refused to. The read continues on another path.
-  void onReaderFailed(std::function<void(const std::string& host, const Error& error)> callback) {
+  void onParentFailed(std::function<void(const std::string& host, const Error& error)> callback) {
     on_reader_failed_ = std::move(callback);
   }
   /// Returns whether the held state is as new as the source's, so that other nodes may wait for
--- a/src/source/state_update.cpp
+++ b/src/source/state_update.cpp
@@ -22,7 +22,7 @@
           {"slots", server.slots},
           {"leaving", server.state == model::MachineState::kLeaving},
           {"started_ms", server.started_ms},
-          {"warm_up_left_ms", toMilliseconds(server.warm_up_left)},
+          {"warm_up_left_ms", toMilliseconds(server.remaining_warm_up)},
           {"revision", server.revision.number.value()}};
 }
 
@@ -38,7 +38,7 @@
   const bool is_leaving = json.at("leaving").get<bool>();
   server.state = is_leaving ? model::MachineState::kLeaving : model::MachineState::kLive;
   server.started_ms = json.at("started_ms").get<std::uint64_t>();
-  server.warm_up_left =
+  server.remaining_warm_up =
       std::chrono::milliseconds(json.at("warm_up_left_ms").get<std::chrono::milliseconds::rep>());
   server.revision = {era, Generation(json.at("revision").get<std::uint64_t>())};
   return server;
--- a/src/source/watch_client.cpp
+++ b/src/source/watch_client.cpp
@@ -2,7 +2,7 @@
 
 namespace coursepond::source {
 
-std::string_view topicWord(Topic topic) {
+std::string_view topicName(Topic topic) {
   return topic == Topic::kServers ? "servers" : "configuration";
 }
 
--- a/src/source/watch_client.h
+++ b/src/source/watch_client.h
@@ -30,7 +30,7 @@
 enum class Topic { kServers, kConfiguration };
 
 /// Returns the name of the topic in logs.
-std::string_view topicWord(Topic topic);
+std::string_view topicName(Topic topic);
 
 /// An operator drained a zone or cancelled its drain. Servers in a drained zone get no requests.
 struct ZoneChange {
--- a/tests/admission/crash_suspects_test.cpp
+++ b/tests/admission/crash_suspects_test.cpp
@@ -60,12 +60,12 @@
   suspects.onTrialFailed(kGuilty, 11, kStart);
   endServer(suspects, 3, {kGuilty});
   CHECK(suspects.verdict(kGuilty, kStart + seconds(9)) == CrashVerdict::kMayNotRun);
-  CHECK(suspects.trialIn(kGuilty, kStart + seconds(9)) == seconds(1));
+  CHECK(suspects.timeUntilTrial(kGuilty, kStart + seconds(9)) == seconds(1));
   const TimePoint second_trial = kStart + seconds(10);
   CHECK(suspects.verdict(kGuilty, second_trial) == CrashVerdict::kTrialOnly);
   suspects.onTrialFailed(kGuilty, 12, second_trial);
   CHECK(suspects.verdict(kGuilty, second_trial + minutes(50)) == CrashVerdict::kMayNotRun);
-  CHECK_FALSE(suspects.trialIn(kGuilty, second_trial).has_value());
+  CHECK_FALSE(suspects.timeUntilTrial(kGuilty, second_trial).has_value());
 }
 
 TEST_CASE(
--- a/tests/admission/quota_fleet_test.cpp
+++ b/tests/admission/quota_fleet_test.cpp
@@ -32,7 +32,7 @@
 class Peers final : public QuotaPeers {
  public:
   Peers(Fleet& fleet, std::size_t own) : fleet_(fleet), own_(own) {}
-  void ask(const std::string& host, const QuotaAsk& ask, Callback callback) override;
+  void ask(const std::string& host, const QuotaRequest& ask, Callback callback) override;
 
  private:
   Fleet& fleet_;
@@ -42,7 +42,7 @@
 /// One request, which adds itself to the fleet's counters.
 struct Request final : QuotaWaiter {
   explicit Request(Fleet& owner) : fleet(owner) {}
-  void onQuota(bool may_pass) override;
+  void onQuotaChecked(bool may_pass) override;
   Fleet& fleet;
 };
 
@@ -117,7 +117,7 @@
     return best;
   }
 
-  void deliver(std::size_t from, const std::string& host, const QuotaAsk& ask,
+  void deliver(std::size_t from, const std::string& host, const QuotaRequest& ask,
                QuotaPeers::Callback callback) {
     std::size_t to = 0;
     while (hostOf(to) != host) ++to;
@@ -164,11 +164,11 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-void Peers::ask(const std::string& host, const QuotaAsk& ask, Callback callback) {
+void Peers::ask(const std::string& host, const QuotaRequest& ask, Callback callback) {
   fleet_.deliver(own_, host, ask, std::move(callback));
 }
 
-void Request::onQuota(bool may_pass) {
+void Request::onQuotaChecked(bool may_pass) {
   if (may_pass) fleet.notePassed();
   if (!may_pass) ++fleet.refused;
 }
--- a/tests/cli/explain_test.cpp
+++ b/tests/cli/explain_test.cpp
@@ -63,13 +63,13 @@
 
 TEST_CASE("every reason and failure that a node can log is explained") {
   for (int reason = 0; reason <= static_cast<int>(proxy::Reason::kMalformedAnswer); ++reason) {
-    const std::string_view word = reasonWord(static_cast<proxy::Reason>(reason));
+    const std::string_view word = reasonName(static_cast<proxy::Reason>(reason));
     CAPTURE(word);
     CHECK_FALSE(explainReason(word).meaning.empty());
   }
   for (int failure = 0; failure <= static_cast<int>(proxy::AttemptFailure::kMalformedAnswer);
        ++failure) {
-    const std::string_view word = failureWord(static_cast<proxy::AttemptFailure>(failure));
+    const std::string_view word = failureName(static_cast<proxy::AttemptFailure>(failure));
     CAPTURE(word);
     CHECK_FALSE(explainReason(word).meaning.empty());
   }
--- a/tests/distribution/codec_test.cpp
+++ b/tests/distribution/codec_test.cpp
@@ -40,15 +40,15 @@
   const EndpointKey key{ServiceName("fonts"), ZoneId("west")};
   return {
       summary,
-      RecordPush{Spread::kZone, {Version(9), Digest::of("nine"), Version(8)}},
-      ContentAnnouncement{Spread::kSecondTree, contentId(9)},
+      RecordPush{ForwardMode::kZone, {Version(9), Digest::of("nine"), Version(8)}},
+      ContentAnnouncement{ForwardMode::kSecondTree, contentId(9)},
       ContentFetch{shortId(9), {shortId(8), shortId(7)}},
       ContentDelta{shortId(9), shortId(8), std::string("\0\xff zst", 6)},
       ContentFull{shortId(9), "zst"},
       ContentRefusal{shortId(9), RefusalReason::kBusy},
       SecretFetch{shortId(9), {SecretName("key")}},
       SecretDelivery{shortId(9), {{SecretName("key"), model::SecretValue("\xff\x01")}}},
-      EndpointPush{Spread::kFirstTree, {endpointChange()}},
+      EndpointPush{ForwardMode::kFirstTree, {endpointChange()}},
       buckets,
       EndpointGenerations{{3, 15}, {{key, Generation(5)}}},
       EndpointFetch{{key}},
--- a/tests/egress/egress_flow_test.cpp
+++ b/tests/egress/egress_flow_test.cpp
@@ -995,7 +995,7 @@
 
   model::ServerEntry again = EgressFixture::entry("s1", "a");
   again.started_ms = 1791000000123;
-  again.warm_up_left = seconds(3);
+  again.remaining_warm_up = seconds(3);
   again.revision = Generation(5);
   egress.list({again});
   const ServerPointer after = egress.state.directory().usable(ServiceName("stock"))[0];
--- a/tests/ingress/ingress_flow_test.cpp
+++ b/tests/ingress/ingress_flow_test.cpp
@@ -313,8 +313,9 @@
   const double earned = ingress.retries.all().at(called).allowance.left();
   CHECK(earned == doctest::Approx(6));
   ingress.retries.changeSettings({.ratio = 0.15, .burst = 8});
-  ingress.retries.takeRepeat(called, proxy::RepeatReason::kAnswerLost, proxy::RepeatUse::kAll);
-  ingress.retries.giveBackRepeat(called);
+  ingress.retries.spendRepeat(called, proxy::RepeatReason::kAnswerLost,
+                              proxy::RetryBudgetUse::kAll);
+  ingress.retries.refundRepeat(called);
   const auto repeat = ingress.send("again1", 1, milliseconds(1000), false, 1);
   CHECK(repeat->isOpen());
   CHECK(ingress.retries.all().at(called).allowance.left() == doctest::Approx(4).epsilon(0.05));
@@ -429,7 +430,7 @@
 TEST_CASE("a server that may be cold gets a limited rate of requests and a health check") {
   IngressFixture ingress;
   int health_checks = 0;
-  ingress.state.onHealthWanted([&] { ++health_checks; });
+  ingress.state.onHealthCheckNeeded([&] { ++health_checks; });
   ingress.state.setService(serviceThatWarmsUp());
   // Health checks count against the limit like requests.
   CHECK(sendShortRequests(ingress, milliseconds(1000)) + health_checks == 4);
@@ -466,7 +467,7 @@
   }
   SUBCASE("its entry reports that it became cold") {
     model::ServerEntry entry = *ingress.state.server();
-    entry.warm_up_left = seconds(2);
+    entry.remaining_warm_up = seconds(2);
     ingress.state.setServer(entry);
   }
   SUBCASE("a connection to it fails") {
--- a/tests/ingress/server_end_watch_test.cpp
+++ b/tests/ingress/server_end_watch_test.cpp
@@ -15,7 +15,7 @@
 /// A watch with the number of its port checks and the ends that it reported.
 struct WatchFixture {
   WatchFixture() {
-    watch.onPortWanted([this] { ++port_checks; });
+    watch.onPortCheckNeeded([this] { ++port_checks; });
     watch.onEnd([this](ServerEndId end, std::span<const RequestFingerprint> requests) {
       ends.push_back(end);
       reported.insert(reported.end(), requests.begin(), requests.end());
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -384,7 +384,7 @@
   }
   const auto passListToAllNodes = [&] {
     for (const auto& [name, node] : mesh->nodes) {
-      node->membership.addHints(list);
+      node->membership.setListedNodes(list);
     }
   };
   passListToAllNodes();
@@ -428,7 +428,7 @@
   mesh->listed.erase(std::remove_if(mesh->listed.begin(), mesh->listed.end(),
                                     [&](const auto& node) { return node.id == id; }),
                      mesh->listed.end());
-  mesh->nodes.at(other)->membership.addHints(mesh->listed);
+  mesh->nodes.at(other)->membership.setListedNodes(mesh->listed);
   CHECK(mesh->nodes.at(other)->membership.find(id) == nullptr);
 }
 
@@ -444,7 +444,7 @@
   std::vector<model::ListedNode> list = mesh->listed;
   std::erase_if(list, [](const auto& node) { return node.zone == ZoneId("c"); });
   for (const auto& [id, node] : mesh->nodes) {
-    node->membership.addHints(list);
+    node->membership.setListedNodes(list);
   }
   mesh->time.runFor(1min);
   CHECK(mesh->viewOf(nodeName("a", 0)).zones.size() == 2);
--- a/tests/membership/mesh.h
+++ b/tests/membership/mesh.h
@@ -82,7 +82,7 @@
     auto process = std::make_unique<MeshNode>(time, network_, self, settings_, ++seed_);
     MeshNode& started = *process;
     nodes[id] = std::move(process);
-    started.membership.addHints(listed);
+    started.membership.setListedNodes(listed);
     started.membership.start();
     return started;
   }
--- a/tests/node/peer_state_exchange_test.cpp
+++ b/tests/node/peer_state_exchange_test.cpp
@@ -23,7 +23,7 @@
 class Fixture : public testing::LoopbackBench {
  public:
   Fixture() {
-    held_.rememberVersions(2);
+    held_.keepVersions(2);
     updateServer("i-1", 10);
     updateVersion(7, 10);
     auto created = PeerStateServer::create(context_, Address{"127.0.0.1", 0}, held_, environment_,
@@ -54,7 +54,7 @@
 
   /// Sends a request. The answer is appended to `answers` when it arrives.
   void ask(Topic topic, std::uint64_t after, std::uint64_t version, Duration wait) {
-    const source::PeerQuestion question{topic, Generation(after), Version(version), wait, true};
+    const source::StateRequest question{topic, Generation(after), Version(version), wait, true};
     client_->read("127.0.0.1", question, 10s,
                   [this](const Answer& answer) { answers.push_back(answer); });
   }
@@ -109,7 +109,7 @@
 
 TEST_CASE("a wait that ends without a change returns the current revision") {
   for (const Topic topic : {Topic::kServers, Topic::kConfiguration}) {
-    CAPTURE(source::topicWord(topic));
+    CAPTURE(source::topicName(topic));
     Fixture fixture;
     fixture.ask(topic, 10, 7, 200ms);
     fixture.settle();
@@ -164,7 +164,7 @@
   REQUIRE(created.has_value());
   HttpPeerStateClient client(fixture.context(), (*created)->address().port, fixture.relay_);
   const auto ask = [&] {
-    const source::PeerQuestion question{Topic::kServers, Generation(), Version(), 0s, true};
+    const source::StateRequest question{Topic::kServers, Generation(), Version(), 0s, true};
     client.read("127.0.0.1", question, 10s,
                 [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
   };
@@ -187,7 +187,7 @@
                                          fixture.environment_, [](Topic) { return true; });
   REQUIRE(created.has_value());
   HttpPeerStateClient client(fixture.context(), (*created)->address().port, fixture.relay_);
-  const source::PeerQuestion question{Topic::kServers, Generation(), Version(), 0s, true};
+  const source::StateRequest question{Topic::kServers, Generation(), Version(), 0s, true};
   client.read("127.0.0.1", question, 10s,
               [&fixture](const Answer& answer) { fixture.answers.push_back(answer); });
   REQUIRE(fixture.isAnswered());
@@ -217,7 +217,7 @@
       }));
   HttpPeerStateClient client(context, server->address().port, fixture.relay_);
   std::optional<Answer> answer;
-  const source::PeerQuestion question{Topic::kServers, Generation(10), Version(), 0s, true};
+  const source::StateRequest question{Topic::kServers, Generation(10), Version(), 0s, true};
   client.read("127.0.0.1", question, 400ms, [&](const Answer& given) { answer = given; });
   context.run_for(4s);
   // Leaving servers are to be known within two seconds, and no other reader is asked before this
@@ -253,7 +253,7 @@
   std::size_t learned = 0;
   source::PeerReader reader({}, client, nothing, fixture.environment_,
                             [&](Topic, const source::StateUpdate&) { ++learned; });
-  reader.notePeer("127.0.0.1");
+  reader.addPeer("127.0.0.1");
   reader.onSourceFailed(Topic::kConfiguration);
   for (int step = 0; step < 60 && learned == 0; ++step) fixture.context().run_for(100ms);
   CAPTURE(reader.asked());
--- a/tests/node/quota_exchange_test.cpp
+++ b/tests/node/quota_exchange_test.cpp
@@ -18,7 +18,7 @@
     auto server = runtime::HttpServer::create(
         context, {"127.0.0.1", 0}, {},
         [&](const runtime::HttpRequest& request, runtime::HttpResponder responder) {
-          received = readQuotaAsk(request);
+          received = readQuotaRequest(request);
           responder.respond(response);
         });
     REQUIRE(server.has_value());
@@ -32,7 +32,7 @@
   }
 
   boost::asio::io_context context;
-  std::optional<Result<admission::QuotaAsk>> received;
+  std::optional<Result<admission::QuotaRequest>> received;
 };
 
 }  // namespace
@@ -44,7 +44,7 @@
   CHECK(grant->tokens == 4);
   CHECK(grant->wait == milliseconds(70));
   REQUIRE(exchange.received->has_value());
-  const admission::QuotaAsk& ask = **exchange.received;
+  const admission::QuotaRequest& ask = **exchange.received;
   CHECK(ask.tenant == TenantName("farm"));
   CHECK(ask.asker == "127.0.0.1");
   CHECK(ask.needed == 3);
@@ -65,7 +65,7 @@
 TEST_CASE("a token request without a tenant is rejected") {
   runtime::HttpRequest request;
   request.target = "/v1/quota?needed=1";
-  CHECK_FALSE(readQuotaAsk(request).has_value());
+  CHECK_FALSE(readQuotaRequest(request).has_value());
 }
 
 }  // namespace coursepond::node
--- a/tests/node/retry_report_test.cpp
+++ b/tests/node/retry_report_test.cpp
@@ -7,7 +7,7 @@
 namespace coursepond::node {
 
 using proxy::RepeatReason;
-using proxy::RepeatUse;
+using proxy::RetryBudgetUse;
 using runtime::LogField;
 
 TEST_CASE("a service is reported when requests were repeated or denied, with the changes since") {
@@ -20,10 +20,10 @@
   CHECK(report.next(retries).empty());
 
   retries.onFirstAttempt(stock, "r");
-  CHECK(retries.takeRepeat(stock, RepeatReason::kServerFailed, RepeatUse::kAll));
-  CHECK(retries.takeRepeat(stock, RepeatReason::kAnswerLost, RepeatUse::kAll));
-  CHECK_FALSE(retries.takeRepeat(stock, RepeatReason::kAnswerLost, RepeatUse::kAll));
-  retries.giveBackRepeat(stock);
+  CHECK(retries.spendRepeat(stock, RepeatReason::kServerFailed, RetryBudgetUse::kAll));
+  CHECK(retries.spendRepeat(stock, RepeatReason::kAnswerLost, RetryBudgetUse::kAll));
+  CHECK_FALSE(retries.spendRepeat(stock, RepeatReason::kAnswerLost, RetryBudgetUse::kAll));
+  retries.refundRepeat(stock);
   const auto lines = report.next(retries);
   REQUIRE(lines.size() == 1);
   CHECK(lines[0] == std::vector<LogField>{{"service", "stock"},
--- a/tests/node/settings_watch_test.cpp
+++ b/tests/node/settings_watch_test.cpp
@@ -103,7 +103,7 @@
                                             "log.lines_per_second"});
   CHECK(needs_restart_keys == std::vector<std::string>{"node.zone"});
   runtime::Settings current = before;
-  takeOver(current, after);
+  applyChangeable(current, after);
   CHECK(current.log.lines_per_second == 7);
   CHECK(current.egress.lapse_hold == after.egress.lapse_hold);
   CHECK(current.node.zone == before.node.zone);
--- a/tests/node/two_hop_metrics_test.cpp
+++ b/tests/node/two_hop_metrics_test.cpp
@@ -27,7 +27,7 @@
   source::WatchLoop configuration_watch{
       settings, client, environment, [](const source::WatchBatch&, bool) {}, [](const Error&) {}};
   class NoPeers final : public source::PeerStateClient {
-    void read(const std::string&, const source::PeerQuestion&, Duration,
+    void read(const std::string&, const source::StateRequest&, Duration,
               source::PeerStateCallback) override {}
   };
   NoPeers no_peers;
@@ -40,7 +40,7 @@
   source::PeerReader peers{
       {}, no_peers, held, environment, [](source::Topic, const source::StateUpdate&) {}};
   class NoQuotaPeers final : public admission::QuotaPeers {
-    void ask(const std::string&, const admission::QuotaAsk&, Callback) override {}
+    void ask(const std::string&, const admission::QuotaRequest&, Callback) override {}
   };
   NoQuotaPeers no_quota_peers;
   admission::QuotaPool pool;
--- a/tests/node/two_hop_node_test.cpp
+++ b/tests/node/two_hop_node_test.cpp
@@ -575,7 +575,7 @@
   bool cancelled = false;
   std::vector<runtime::HttpResponder> held;
   mesh.setBehaviour([&](const runtime::HttpRequest&, const runtime::HttpResponder& responder) {
-    responder.onCallerGone([&cancelled] { cancelled = true; });
+    responder.onCallerDisconnected([&cancelled] { cancelled = true; });
     held.push_back(responder);
   });
   {
--- a/tests/platform/soak/back_end.cpp
+++ b/tests/platform/soak/back_end.cpp
@@ -79,7 +79,7 @@
   work->answer_bytes = wire::numberIn(request.query(), "size");
   work->time = std::chrono::milliseconds(wire::numberIn(request.query(), "time_ms"));
   work->crasher = wire::numberIn(request.query(), "crasher");
-  work->responder.onCallerGone([this, work] { drop(work); });
+  work->responder.onCallerDisconnected([this, work] { drop(work); });
   if (running_.size() < kSlots) return start(work);
   if (waiting_.size() >= kQueueLimit) return refuse(*work, kUnavailable);
   waiting_.push_back(work);
--- a/tests/platform/store_answers_test.cpp
+++ b/tests/platform/store_answers_test.cpp
@@ -193,7 +193,7 @@
   CHECK(server->address == Address{"10.0.0.9", 8080});
   CHECK(server->slots == 18);
   CHECK(server->state == model::MachineState::kLeaving);
-  CHECK(server->warm_up_left == milliseconds(1500));
+  CHECK(server->remaining_warm_up == milliseconds(1500));
   CHECK(server->started_ms == 1791000000123);
   CHECK_FALSE(decodeServer("i-1", R"({"service":"s1"})").has_value());
 }
--- a/tests/proxy/retry_accounts_test.cpp
+++ b/tests/proxy/retry_accounts_test.cpp
@@ -21,10 +21,10 @@
     for (int number = 0; number < first_attempts; ++number) retries.onFirstAttempt(service, "r");
   }
 
-  int take(const ServiceName& service, int tries, RepeatUse use = RepeatUse::kAll) {
+  int take(const ServiceName& service, int tries, RetryBudgetUse use = RetryBudgetUse::kAll) {
     int taken = 0;
     for (int number = 0; number < tries; ++number) {
-      if (retries.takeRepeat(service, RepeatReason::kAnswerLost, use)) ++taken;
+      if (retries.spendRepeat(service, RepeatReason::kAnswerLost, use)) ++taken;
     }
     return taken;
   }
@@ -59,7 +59,7 @@
     retries.setNodes(kNodes);
     for (int first = 0; first < 100; ++first) retries.onFirstAttempt(kStock, "r");
     for (int trial = 0; trial < 5; ++trial) {
-      if (retries.takeRepeat(kStock, RepeatReason::kAnswerLost, RepeatUse::kAll)) ++taken;
+      if (retries.spendRepeat(kStock, RepeatReason::kAnswerLost, RetryBudgetUse::kAll)) ++taken;
     }
   }
   CHECK(taken > 25);
@@ -123,8 +123,8 @@
 TEST_CASE("less useful repeats leave half of the share to others") {
   AccountsFixture node(10);
   node.earn(kStock, 1000);
-  CHECK(node.take(kStock, 10, RepeatUse::kHalf) == 2);
-  CHECK(node.take(kStock, 10, RepeatUse::kAll) == 2);
+  CHECK(node.take(kStock, 10, RetryBudgetUse::kHalf) == 2);
+  CHECK(node.take(kStock, 10, RetryBudgetUse::kAll) == 2);
 }
 
 TEST_CASE("a call of a repeated run is charged, and a call of another run adds to the budget") {
--- a/tests/runtime/http_client_timeout_test.cpp
+++ b/tests/runtime/http_client_timeout_test.cpp
@@ -98,7 +98,7 @@
 
 TEST_CASE("an answer that makes progress but does not end is abandoned after longest_answer") {
   HttpClientLimits limits;
-  limits.longest_answer = 300ms;
+  limits.answer_timeout = 300ms;
   SlowAnswer bench(limits);
   const auto answer = bench.ask(1s, 1s);
   REQUIRE(answer.has_error());
--- a/tests/runtime/http_server_client_test.cpp
+++ b/tests/runtime/http_server_client_test.cpp
@@ -129,7 +129,7 @@
   bool gone = false;
   std::optional<HttpResponder> held;
   Fixture fixture([&](const HttpRequest&, HttpResponder responder) {
-    responder.onCallerGone([&] { gone = true; });
+    responder.onCallerDisconnected([&] { gone = true; });
     held = responder;
   });
   CHECK(fixture.ask({}, std::chrono::milliseconds(1)).error().kind == ErrorKind::kTimeout);
--- a/tests/runtime/peer_queue_test.cpp
+++ b/tests/runtime/peer_queue_test.cpp
@@ -51,9 +51,9 @@
 
 TEST_CASE("records of different spreads, and messages that do not carry state, replace nothing") {
   distribution::RecordPush push;
-  push.spread = distribution::Spread::kFirstTree;
+  push.spread = distribution::ForwardMode::kFirstTree;
   const auto first = stateMessageKindOf(distribution::Message(push));
-  push.spread = distribution::Spread::kSecondTree;
+  push.spread = distribution::ForwardMode::kSecondTree;
   const auto second = stateMessageKindOf(distribution::Message(push));
   REQUIRE(first.has_value());
   CHECK(first != second);
--- a/tests/runtime/pipelining_test.cpp
+++ b/tests/runtime/pipelining_test.cpp
@@ -141,7 +141,8 @@
   caller.send(simpleGet("/1") + simpleGet("/2") + simpleGet("/3"));
   fixture.awaitHeld(3);
   int gone = 0;
-  for (auto& [target, responder] : fixture.held) responder.onCallerGone([&gone] { ++gone; });
+  for (auto& [target, responder] : fixture.held)
+    responder.onCallerDisconnected([&gone] { ++gone; });
   caller.close();
   fixture.runUntil([&] { return gone == 3; });
   CHECK(fixture.server->statistics().callers_gone == 1);
@@ -169,7 +170,7 @@
   caller.send(simpleGet("/1") + simpleGet("/2"));
   fixture.awaitHeld(2);
   int gone = 0;
-  fixture.held.at("/2").onCallerGone([&gone] { ++gone; });
+  fixture.held.at("/2").onCallerDisconnected([&gone] { ++gone; });
   fixture.held.at("/1").begin({200, "text/plain", {}, ""});
   fixture.held.at("/1").sendChunk("part");
   REQUIRE(caller.receives("part"));
@@ -223,7 +224,7 @@
 TEST_CASE(
     "an answer longer than the buffer limit waits for earlier answers and arrives completely") {
   ProxyServerSettings settings;
-  settings.whole_answer_bytes = 1000;
+  settings.buffered_answer_bytes = 1000;
   PipelineFixture fixture(settings);
   RawCaller caller = fixture.caller();
   caller.send(simpleGet("/1") + simpleGet("/2"));
--- a/tests/runtime/proxy_server_fixture.h
+++ b/tests/runtime/proxy_server_fixture.h
@@ -128,13 +128,13 @@
 
 /// The data path of one node, with one service "s" and one route to it, on one context.
 struct ProxyServerFixture {
-  /// `runs_beside`: see ExchangeSource.
-  explicit ProxyServerFixture(ProxyServerSettings settings_in = {},
-                              model::Service service = {ServiceName("s")},
-                              std::function<bool(const proxy::RequestHead&)> runs_beside = {})
+  /// `may_run_concurrently`: see ExchangeSource.
+  explicit ProxyServerFixture(
+      ProxyServerSettings settings_in = {}, model::Service service = {ServiceName("s")},
+      std::function<bool(const proxy::RequestHead&)> may_run_concurrently = {})
       : settings(std::move(settings_in)), state(ZoneId("z"), proxy::Settings{}, environment) {
     ExchangeSource source = directExchanges(state, environment);
-    source.runs_beside = std::move(runs_beside);
+    source.may_run_concurrently = std::move(may_run_concurrently);
     server =
         std::move(ProxyServer::create(context, settings, std::move(source), environment).value());
     auto snapshot = std::make_shared<model::Snapshot>();
--- a/tests/runtime/proxy_server_test.cpp
+++ b/tests/runtime/proxy_server_test.cpp
@@ -203,7 +203,7 @@
   bool cancelled = false;
   fixture.startBackend([&](const HttpRequest& request, HttpResponder responder) {
     if (request.target != "/slow") return echo(request, responder);
-    responder.onCallerGone([&] { cancelled = true; });
+    responder.onCallerDisconnected([&] { cancelled = true; });
     held = responder;
   });
   {
@@ -352,7 +352,7 @@
     caller.send(refused.bytes);
     caller.runToEnd();
     CHECK(caller.received.starts_with("HTTP/1.1 " + std::to_string(statusOf(refused.reason))));
-    CHECK(caller.received.find("X-Reason: " + std::string(reasonWord(refused.reason))) !=
+    CHECK(caller.received.find("X-Reason: " + std::string(reasonName(refused.reason))) !=
           std::string::npos);
     CHECK(refusalsFor(*fixture.server, refused.reason) == before + 1);
   }
--- a/tests/source/held_state_test.cpp
+++ b/tests/source/held_state_test.cpp
@@ -16,7 +16,7 @@
   server.zone = ZoneId("a");
   server.slots = 9;
   server.started_ms = 1791000000123;
-  server.warm_up_left = milliseconds(1500);
+  server.remaining_warm_up = milliseconds(1500);
   server.state = model::MachineState::kLeaving;
   server.revision = Generation(revision);
   return server;
@@ -60,7 +60,7 @@
 /// Returns the state of a node after a list: revision 10, version 7, servers i-1 and i-2.
 HeldState makeHeld() {
   HeldState held;
-  held.rememberVersions(3);
+  held.keepVersions(3);
   CHECK(held.updateServers(makeBatch(10, {makeServer("i-1", 3), makeServer("i-2", 9)}), true));
   CHECK(held.updateConfiguration(makeBatch(10, makeConfiguration(7, milliseconds(300)))));
   return held;
--- a/tests/source/peer_reader_test.cpp
+++ b/tests/source/peer_reader_test.cpp
@@ -19,7 +19,7 @@
 
 class ControlledPeers final : public PeerStateClient {
  public:
-  void read(const std::string& host, const PeerQuestion& question, Duration,
+  void read(const std::string& host, const StateRequest& question, Duration,
             PeerStateCallback callback) override {
     topics.insert(question.topic);
     hosts.push_back(host);
@@ -28,7 +28,7 @@
   }
   std::vector<std::string> hosts;
   std::set<Topic> topics;
-  PeerQuestion last_question;
+  StateRequest last_question;
   PeerStateCallback last;
 };
 
@@ -53,7 +53,7 @@
 
 TEST_CASE("peers are asked only while the source fails") {
   ReaderFixture fixture;
-  fixture.reader.notePeer("10.0.0.1");
+  fixture.reader.addPeer("10.0.0.1");
   fixture.environment.advance(seconds(5));
   CHECK(fixture.peers.hosts.empty());
   fixture.reader.onSourceFailed(Topic::kServers);
@@ -67,7 +67,7 @@
 
 TEST_CASE("a peer is asked only about the topics whose reads from the source fail") {
   ReaderFixture fixture;
-  fixture.reader.notePeer("10.0.0.1");
+  fixture.reader.addPeer("10.0.0.1");
   fixture.reader.onSourceFailed(Topic::kServers);
   fixture.reader.onSourceFailed(Topic::kConfiguration);
   // The servers can be read again. This does not end the questions about the configuration.
@@ -84,7 +84,7 @@
   fixture.reader.onSourceFailed(Topic::kServers);
   fixture.environment.advance(seconds(1));
   CHECK(fixture.peers.hosts.empty());
-  fixture.reader.notePeer("10.0.0.9");
+  fixture.reader.addPeer("10.0.0.9");
   fixture.environment.advance(seconds(1));
   REQUIRE_FALSE(fixture.peers.hosts.empty());
   CHECK(fixture.peers.hosts[0] == "10.0.0.9");
@@ -94,7 +94,7 @@
 
 TEST_CASE("only newer state of a peer is applied") {
   ReaderFixture fixture;
-  fixture.reader.notePeer("10.0.0.9");
+  fixture.reader.addPeer("10.0.0.9");
   fixture.hold(8);
   fixture.reader.onSourceAnswered(Topic::kServers);
   fixture.reader.onSourceFailed(Topic::kServers);
--- a/tests/source/reader_choice_test.cpp
+++ b/tests/source/reader_choice_test.cpp
@@ -84,7 +84,7 @@
   const std::vector<NodeMachine> readers = planReaders(machines, {}).relays;
   std::map<std::string, int> asked_first;
   for (const NodeMachine& own : machines) {
-    const std::vector<std::string> order = askingOrder(own, readers);
+    const std::vector<std::string> order = parentOrder(own, readers);
     CHECK(std::find(order.begin(), order.end(), own.host) == order.end());
     const auto first = std::find_if(readers.begin(), readers.end(), [&](const NodeMachine& reader) {
       return reader.host == order.front();
@@ -99,7 +99,7 @@
 TEST_CASE("no machines give no readers, no relays and nobody to ask") {
   CHECK(planReaders({}, {}).readers.empty());
   CHECK(planReaders({}, {}).relays.empty());
-  CHECK(askingOrder({"10.0.0.1", ZoneId("a")}, {}).empty());
+  CHECK(parentOrder({"10.0.0.1", ZoneId("a")}, {}).empty());
 }
 
 }  // namespace coursepond::source
--- a/tests/source/reader_discovery_test.cpp
+++ b/tests/source/reader_discovery_test.cpp
@@ -46,7 +46,7 @@
 
 class ControlledPeers final : public PeerStateClient {
  public:
-  void read(const std::string& host, const PeerQuestion& question, Duration,
+  void read(const std::string& host, const StateRequest& question, Duration,
             PeerStateCallback callback) override {
     hosts.push_back(host);
     CHECK_FALSE(question.only_fresh);
--- a/tests/source/relay_client_test.cpp
+++ b/tests/source/relay_client_test.cpp
@@ -37,14 +37,14 @@
 
 struct PeerRead {
   std::string host;
-  PeerQuestion question;
+  StateRequest question;
   Duration timeout{};
   PeerStateCallback callback;
 };
 
 class ControlledPeers final : public PeerStateClient {
  public:
-  void read(const std::string& host, const PeerQuestion& question, Duration timeout,
+  void read(const std::string& host, const StateRequest& question, Duration timeout,
             PeerStateCallback callback) override {
     reads.push_back({host, question, timeout, std::move(callback)});
   }
@@ -84,7 +84,7 @@
     client.list(seconds(1), [this](Result<WatchBatch> answer) { take(std::move(answer)); });
     const std::uint64_t version = topic == Topic::kConfiguration ? 7 : 0;
     source.answer(makeBatch(10, version));
-    client.setReaders({"r1", "r2"}, is_reader ? ReaderRole::kReader : ReaderRole::kFollower);
+    client.setParents({"r1", "r2"}, is_reader ? ReaderRole::kReader : ReaderRole::kFollower);
     // A reader lists again right after a new version. The source has nothing newer then.
     if (is_reader) {
       watch();
@@ -96,7 +96,7 @@
 
   /// Makes the node a relay whose parent has just answered.
   void becomeFreshRelay() {
-    client.setReaders({"r1", "r2"}, ReaderRole::kRelay);
+    client.setParents({"r1", "r2"}, ReaderRole::kRelay);
     watch();
     peers.answer(std::optional<StateUpdate>());
     freshness_lost = 0;
@@ -171,7 +171,7 @@
 
 TEST_CASE("a follower waits at its first parent and not at the source") {
   for (const Topic topic : kTopics) {
-    CAPTURE(topicWord(topic));
+    CAPTURE(topicName(topic));
     RelayFixture fixture(false, topic);
     fixture.watch();
     REQUIRE(fixture.peers.reads.size() == 1);
@@ -197,7 +197,7 @@
   HeldState nothing;
   RelayClient client(fresh.settings, Topic::kConfiguration, fresh.source, fresh.peers, nothing,
                      fresh.environment);
-  client.setReaders({"r1", "r2"}, ReaderRole::kFollower);
+  client.setParents({"r1", "r2"}, ReaderRole::kFollower);
   std::optional<Result<WatchBatch>> answer;
   const auto take = [&](Result<WatchBatch> received) { answer = std::move(received); };
   client.list(seconds(1), take);
@@ -235,13 +235,13 @@
   CHECK(fixture.client.isFresh());
 
   // The parent that is not fresh is asked again soon, the silent one later.
-  fixture.environment.advance(fixture.settings.avoid_unfit);
+  fixture.environment.advance(fixture.settings.avoid_stale_parent);
   fixture.watch();
   CHECK(fixture.peers.reads.back().host == "r2");
   // Once after the initial list, and now again.
   CHECK(fixture.freshness_lost == 2);
   fixture.peers.answer(std::optional<StateUpdate>());
-  fixture.environment.advance(fixture.settings.avoid_silent);
+  fixture.environment.advance(fixture.settings.avoid_silent_parent);
   fixture.watch();
   CHECK(fixture.peers.reads.back().host == "r1");
 }
@@ -249,7 +249,7 @@
 TEST_CASE(
     "a reader waits at the source for the configured time, and is stale after a failed read") {
   for (const Topic topic : kTopics) {
-    CAPTURE(topicWord(topic));
+    CAPTURE(topicName(topic));
     RelayFixture fixture(true, topic);
     fixture.watch();
     REQUIRE(fixture.source.reads.size() == 1);
@@ -367,7 +367,7 @@
 // behalf of all nodes, and each read has a cost.
 TEST_CASE("while the source fails, followers leave the retries to the readers") {
   for (const Topic topic : kTopics) {
-    CAPTURE(topicWord(topic));
+    CAPTURE(topicName(topic));
     RelayFixture fixture(false, topic);
     if (topic == Topic::kServers) {
       // A node without a configuration cannot serve requests, and would read from any path.
@@ -403,7 +403,7 @@
     "when all readers stop at once, only a few nodes read the configuration from the source") {
   constexpr std::size_t kNodes = 60;
   RelayFixture fixture(false);
-  fixture.client.setReaders({"r1", "r2"}, ReaderRole::kFollower, kNodes);
+  fixture.client.setParents({"r1", "r2"}, ReaderRole::kFollower, kNodes);
   std::size_t turns = 0;
   for (; turns < 10 * kNodes; ++turns) {
     const std::size_t answered = fixture.answers.size();
@@ -415,7 +415,7 @@
       if (fixture.source.reads.size() > read) fixture.source.answer(makeBatch(10));
       REQUIRE((fixture.peers.reads.size() > asked || fixture.answers.size() > answered));
     }
-    fixture.environment.advance(fixture.settings.avoid_unfit);
+    fixture.environment.advance(fixture.settings.avoid_stale_parent);
   }
   // About six of sixty in each turn.
   CHECK(fixture.source.reads.size() > turns / 20);
@@ -423,7 +423,7 @@
 
   // Leaving servers must be known soon and their entries are small, so every node reads them.
   RelayFixture servers(false, Topic::kServers);
-  servers.client.setReaders({"r1", "r2"}, ReaderRole::kFollower, kNodes);
+  servers.client.setParents({"r1", "r2"}, ReaderRole::kFollower, kNodes);
   servers.watch();
   servers.peers.fail(ErrorKind::kOverloaded);
   servers.peers.fail(ErrorKind::kOverloaded);
@@ -435,7 +435,7 @@
   HeldState nothing;
   RelayClient client(fixture.settings, Topic::kConfiguration, fixture.source, fixture.peers,
                      nothing, fixture.environment);
-  client.setReaders({"r1", "r2"}, ReaderRole::kFollower, 60);
+  client.setParents({"r1", "r2"}, ReaderRole::kFollower, 60);
   client.list(seconds(1), [](const Result<WatchBatch>&) {});
   fixture.peers.fail(ErrorKind::kOverloaded);
   REQUIRE(fixture.peers.reads.size() == 2);
@@ -446,9 +446,9 @@
 
 TEST_CASE("a relay is fresh after an answer of its parent, a follower is not") {
   for (const ReaderRole role : {ReaderRole::kRelay, ReaderRole::kFollower}) {
-    CAPTURE(roleWord(role));
+    CAPTURE(roleName(role));
     RelayFixture fixture(false, Topic::kServers);
-    fixture.client.setReaders({"r1", "r2"}, role);
+    fixture.client.setParents({"r1", "r2"}, role);
     fixture.watch();
     fixture.peers.answer(std::optional<StateUpdate>());
     CHECK(fixture.client.isFresh() == (role == ReaderRole::kRelay));
--- a/tests/support/simulated_mesh.h
+++ b/tests/support/simulated_mesh.h
@@ -473,7 +473,7 @@
     node.ingress.setServer(node.entry);
     list(node, nodes_.size());
     ingress::ServerEndWatch& ends = node.ingress.serverEnds();
-    ends.onPortWanted([this, &node] { probePort(node); });
+    ends.onPortCheckNeeded([this, &node] { probePort(node); });
     ends.onEnd([this, &node](ServerEndId end, std::span<const RequestFingerprint> requests) {
       node.suspects.onServerEnd(end, requests, now());
     });
