--- a/src/node/request_histograms.cpp
+++ b/src/node/request_histograms.cpp
@@ -74,11 +74,11 @@
 void RequestHistograms::addTo(runtime::MetricTable& table) const {
   const std::vector<std::string> labels = {"service", "outcome"};
   table.add({"egress_request_seconds", runtime::MetricType::kHistogram,
-             "Time from a request's arrival to the head of its answer, over both hops.", labels,
+             "From a request's arrival to its answer's head, over both hops.", labels,
              [this] { return samplesOf(egress_seconds_); }});
   table.add({"ingress_queue_seconds", runtime::MetricType::kHistogram,
-             "Time at the ingress until the request was sent to the server or refused.", labels,
-             [this] { return samplesOf(queue_seconds_); }});
+             "Time at the ingress before the server had the request, or before it was refused.",
+             labels, [this] { return samplesOf(queue_seconds_); }});
 }
 
 }  // namespace coursepond::node
