--- a/bench/control/baseline_process.cpp
+++ b/bench/control/baseline_process.cpp
@@ -9,7 +9,8 @@
 
 constexpr Duration kPollInterval = std::chrono::seconds(1);
 
-/// The number that follows `"name":` in the text; the lists are too long to parse on every node.
+/// Returns the number after `"name":` in the JSON text, or 0. Avoids parsing the document, because
+/// the lists are too long to parse them on every node.
 std::uint64_t numberAfter(const std::string& text, std::string_view name) {
   const std::size_t place = text.find("\"" + std::string(name) + "\":");
   if (place == std::string::npos) return 0;
@@ -41,10 +42,10 @@
   if (answer.has_error() || answer->not_modified) return;
   newest_tag_ = answer->entity_tag;
   const Version newest(numberAfter(answer->body, "newest"));
-  if (newest <= held_) return;
+  if (newest <= version_) return;
   client_.readConfiguration(newest, [this, newest](const Result<source::PlatformAnswer>& whole) {
-    if (whole.has_error() || newest <= held_) return;
-    held_ = newest;
+    if (whole.has_error() || newest <= version_) return;
+    version_ = newest;
     events_.on_configuration(newest, whole->body);
   });
 }
--- a/bench/control/baseline_process.h
+++ b/bench/control/baseline_process.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// A process of a baseline that reads the platform once a second.
+/// Client of the baseline systems that polls the platform once per second.
 
 #include <functional>
 #include <string>
@@ -12,8 +12,8 @@
 
 namespace coursepond::bench {
 
-/// Reads the newest version and the machine list with conditional requests; a newer version is read
-/// whole.
+/// Polls the newest version number and the machine list with conditional requests. Downloads the
+/// full document of each newer version.
 class PlatformPoller {
  public:
   struct Events {
@@ -25,7 +25,7 @@
                  simulation::PlatformModel& platform, PlatformTraffic& traffic, std::uint64_t seed,
                  Events events);
 
-  /// The first read is at a random moment of the interval.
+  /// Starts polling after a random part of the interval.
   void start();
 
  private:
@@ -38,7 +38,7 @@
   Events events_;
   std::string newest_tag_;
   std::string machines_tag_;
-  Version held_;
+  Version version_;
 };
 
 }  // namespace coursepond::bench
--- a/bench/control/baselines.cpp
+++ b/bench/control/baselines.cpp
@@ -10,9 +10,9 @@
 constexpr Duration kHeartbeatInterval = std::chrono::seconds(1);
 constexpr Duration kLocalLatency = std::chrono::microseconds(200);
 constexpr Duration kJitter = std::chrono::microseconds(300);
-/// Length, kind and version in front of a pushed state.
+/// Size of the length, kind and version prefix of a pushed state.
 constexpr double kFrameBytes = 8;
-/// One heartbeat in one direction, framed.
+/// Size of one heartbeat in one direction, including its frame.
 constexpr double kHeartbeatBytes = 12;
 
 }  // namespace
--- a/bench/control/baselines.h
+++ b/bench/control/baselines.h
@@ -1,8 +1,8 @@
 #pragma once
 
-/// Two plain ways of distributing configuration, run on the same work as coursepond. Both are
-/// measured in their favour: no loss, no limits of bandwidth or of the source, no acceptance, and
-/// whatever they send is compressed.
+/// Two simple baseline systems that distribute configuration, run on the same workload as
+/// coursepond. All simplifications favour the baselines: no loss, no limits on bandwidth or on the
+/// source, no acceptance step, and everything they send is compressed.
 
 #include <memory>
 #include <vector>
@@ -15,7 +15,7 @@
 
 namespace coursepond::bench {
 
-/// Every proxy reads the platform once a second.
+/// Baseline in which every proxy polls the platform once per second.
 class PollingSystem final : public DistributionSystem {
  public:
   PollingSystem(const MeshShape& shape, simulation::VirtualTime& time,
@@ -33,14 +33,15 @@
  private:
   struct Proxy {
     PlatformTraffic traffic;
-    bool in_platform_zone = false;  ///< The platform is taken to be in the first zone.
+    bool in_platform_zone = false;  ///< The platform is assumed to be in the first zone.
     std::unique_ptr<PlatformPoller> poller;
   };
   std::vector<std::unique_ptr<Proxy>> proxies_;
 };
 
-/// One server reads the platform and sends the whole state (configuration, secrets, machines) to
-/// every proxy at each change; both ends exchange a small heartbeat every second.
+/// Baseline in which one server polls the platform and pushes the whole state (configuration,
+/// secrets, machines) to every proxy on each change. Server and proxies exchange a small heartbeat
+/// every second.
 class PushingSystem final : public DistributionSystem {
  public:
   PushingSystem(const MeshShape& shape, simulation::VirtualTime& time,
@@ -71,7 +72,7 @@
   std::string document_;
   std::string machines_;
   double server_bytes_ = 0;
-  double proxy_bytes_ = 0;  ///< Of each proxy.
+  double proxy_bytes_ = 0;  ///< Bytes sent by each proxy.
   double crossing_bytes_ = 0;
 };
 
--- a/bench/control/counting_client.cpp
+++ b/bench/control/counting_client.cpp
@@ -11,7 +11,8 @@
 const std::string kNewestPath = "/v1/configurations";
 const std::string kMachinesPath = "/v1/machines";
 
-/// Many clients read the same bodies: each is compressed once, by its entity tag.
+/// Caches the compressed size of each body by its entity tag, because many clients read the same
+/// bodies.
 double compressedSize(const std::string& entity_tag, const std::string& body) {
   static std::map<std::string, double> known;
   const auto [entry, is_new] = known.try_emplace(entity_tag, 0);
--- a/bench/control/counting_client.h
+++ b/bench/control/counting_client.h
@@ -9,14 +9,14 @@
 
 namespace coursepond::bench {
 
-/// What the exchanges of any number of clients cost.
+/// Bytes and number of the exchanges of any number of clients.
 struct PlatformTraffic {
   double bytes = 0;
   std::uint64_t reads = 0;
 };
 
-/// Passes requests on, and adds up the HTTP/1.1 bytes they stand for. Bodies count as compressed
-/// with zstd, in favour of whoever reads much.
+/// Forwards requests to another client and adds up the HTTP/1.1 bytes that they would take. Bodies
+/// are counted at their size compressed with zstd, which favours systems that read a lot.
 class CountingClient final : public source::PlatformClient {
  public:
   CountingClient(std::unique_ptr<source::PlatformClient> inner, PlatformTraffic& traffic)
--- a/bench/control/coursepond_system.cpp
+++ b/bench/control/coursepond_system.cpp
@@ -13,9 +13,9 @@
 using Json = nlohmann::json;
 
 constexpr char kToken[] = "bench";
-/// Nodes start within this, as after a rollout.
+/// All nodes start within this time, as in a rollout.
 constexpr Duration kStartSpread = std::chrono::seconds(2);
-/// Peers that the settings name to a node.
+/// Number of seed peers in the settings of each node.
 constexpr std::size_t kSeeds = 6;
 
 simulation::NetworkQuality qualityOf(const MeshShape& shape) {
@@ -47,7 +47,7 @@
 
 }  // namespace
 
-/// One node's control plane with its surroundings.
+/// The control plane of one node with its platform client and network connection.
 class CoursepondSystem::Node final : public control::ControlObserver,
                                      public MessageSender<control::PeerMessage> {
  public:
@@ -119,20 +119,20 @@
   next_operator_ = (next_operator_ + 7) % nodes_.size();
   admin::AdminApi& api = nodes_[next_operator_]->api();
   const std::string body = Json({{"version", version.value()}}).dump();
-  api.handle({"POST", "/v1/plans", kToken, body},
-             [this, &api, version](const admin::AdminResponse& planned) {
-               if (planned.status / 100 != 2) {
-                 std::fprintf(stderr, "plan refused: %s\n", planned.json_body.c_str());
-                 return;
-               }
-               const auto id = Json::parse(planned.json_body).at("id").get<std::string>();
-               recorder_.onAccepted(version);
-               api.handle({"POST", "/v1/plans/" + id + "/confirm", kToken, ""},
-                          [](const admin::AdminResponse& confirmed) {
-                            if (confirmed.status / 100 == 2) return;
-                            std::fprintf(stderr, "confirm: %s\n", confirmed.json_body.c_str());
-                          });
-             });
+  api.handle({"POST", "/v1/plans", kToken, body}, [this, &api,
+                                                   version](const admin::AdminResponse& planned) {
+    if (planned.status / 100 != 2) {
+      std::fprintf(stderr, "plan refused: %s\n", planned.json_body.c_str());
+      return;
+    }
+    const auto id = Json::parse(planned.json_body).at("id").get<std::string>();
+    recorder_.onAccepted(version);
+    api.handle({"POST", "/v1/plans/" + id + "/confirm", kToken, ""},
+               [](const admin::AdminResponse& confirmed) {
+                 if (confirmed.status / 100 == 2) return;
+                 std::fprintf(stderr, "confirmation failed: %s\n", confirmed.json_body.c_str());
+               });
+  });
 }
 
 PhaseBytes CoursepondSystem::bytes() const {
--- a/bench/control/coursepond_system.h
+++ b/bench/control/coursepond_system.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// coursepond itself: the production control plane of every node on the simulator's network.
+/// The system under test: the production control plane of every node on the simulated network.
 
 #include <memory>
 #include <vector>
--- a/bench/control/distribution_system.h
+++ b/bench/control/distribution_system.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// What the bench needs of one way of distributing configuration.
+/// Interface of a system that distributes configuration, as the bench needs it.
 
 #include <string>
 
@@ -14,17 +14,17 @@
   virtual ~DistributionSystem() = default;
   virtual std::string name() const = 0;
   virtual void start() = 0;
-  /// A published version takes effect without any confirmation.
+  /// Whether a published version takes effect without a confirmation.
   virtual bool publicationIsAcceptance() const = 0;
   /// Plans the published version and confirms it.
   virtual void confirm(Version version) = 0;
-  /// Sent since the start, by all nodes.
+  /// Bytes sent by all nodes since the start.
   virtual PhaseBytes bytes() const = 0;
-  /// Sent since the start by each node (and server), in any order.
+  /// Bytes sent since the start by each node (and server), in any order.
   virtual std::vector<double> bytesByNode() const = 0;
-  /// Sent between zones since the start.
+  /// Bytes sent between zones since the start.
   virtual double crossingBytes() const = 0;
-  /// Requests to the platform since the start.
+  /// Number of requests to the platform since the start.
   virtual std::uint64_t sourceReads() const = 0;
 };
 
--- a/bench/control/main.cpp
+++ b/bench/control/main.cpp
@@ -1,5 +1,5 @@
-// Measures how configuration gets to every proxy: coursepond against two baselines on the same
-// work. See docs/MEASUREMENTS.md, "Control path".
+// Measures how fast and at what cost configuration reaches every proxy: compares coursepond with
+// two baselines on the same workload. See docs/MEASUREMENTS.md, "Control path".
 
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -39,10 +39,10 @@
           parsed["seed"].as<std::string>()};
 }
 
-Way wayNamed(const std::string& name) {
-  if (name == "polling") return Way::kPolling;
-  if (name == "pushing") return Way::kPushing;
-  return Way::kCoursepond;
+SystemKind systemKindNamed(const std::string& name) {
+  if (name == "polling") return SystemKind::kPolling;
+  if (name == "pushing") return SystemKind::kPushing;
+  return SystemKind::kCoursepond;
 }
 
 std::uint32_t numberOf(const std::string& text) {
@@ -65,10 +65,11 @@
     for (const std::string& nodes : options.nodes) {
       for (const std::string& way : options.ways) {
         const MeshShape shape = shapeOf(options, shape_name, nodes);
-        const Figures figures = runWork(wayNamed(way), shape, WorkPlan(), numberOf(options.seed));
+        const Figures figures =
+            runWork(systemKindNamed(way), shape, WorkPlan(), numberOf(options.seed));
         std::fputs(tableRow(figures).c_str(), stdout);
         std::fflush(stdout);
-        if (wayNamed(way) == Way::kCoursepond) breakdowns += breakdown(figures);
+        if (systemKindNamed(way) == SystemKind::kCoursepond) breakdowns += breakdown(figures);
       }
     }
   }
--- a/bench/control/recorder.cpp
+++ b/bench/control/recorder.cpp
@@ -8,13 +8,13 @@
 }
 
 void Recorder::onInForce(const NodeId& node, Version version) {
-  Version& held = in_force_[node];
+  Version& in_force = in_force_[node];
   for (const auto& [accepted, at] : accepted_) {
-    if (accepted <= held || accepted > version) continue;
+    if (accepted <= in_force || accepted > version) continue;
     convergence_.add(std::chrono::duration_cast<Duration>(time_.now() - at));
     ++reached_[accepted];
   }
-  held = std::max(held, version);
+  in_force = std::max(in_force, version);
 }
 
 void Recorder::onEndpoints(const NodeId& node, const distribution::EndpointKey& key,
@@ -33,7 +33,7 @@
 
 bool Recorder::everywhere(Version version) const {
   std::uint32_t nodes = 0;
-  for (const auto& [node, held] : in_force_) nodes += held >= version ? 1 : 0;
+  for (const auto& [node, in_force] : in_force_) nodes += in_force >= version ? 1 : 0;
   return nodes == shape_.nodes;
 }
 
--- a/bench/control/recorder.h
+++ b/bench/control/recorder.h
@@ -1,6 +1,6 @@
 #pragma once
 
-/// Takes down when versions and endpoint changes reached the nodes.
+/// Records when versions and endpoint changes reached the nodes.
 
 #include <map>
 #include <set>
@@ -16,16 +16,17 @@
  public:
   Recorder(const MeshShape& shape, simulation::VirtualTime& time) : shape_(shape), time_(time) {}
 
-  // From the bench and the systems.
+  // Called by the bench and the systems under test.
   void onAccepted(Version version) { accepted_.try_emplace(version, time_.now()); }
   void onListChanged(Generation generation, std::uint32_t churn_step);
   void onInForce(const NodeId& node, Version version);
   void onEndpoints(const NodeId& node, const distribution::EndpointKey& key, Generation generation);
-  /// A whole machine list reached the node.
+  /// Called when a complete machine list reached the node.
   void onWholeList(const NodeId& node, Generation generation);
 
+  /// Whether all nodes have `version` or a newer one in force.
   bool everywhere(Version version) const;
-  /// Fills in the delays and what is missing.
+  /// Fills in the delays and the number of missing changes.
   void finish(Figures& figures) const;
 
  private:
--- a/bench/control/runner.cpp
+++ b/bench/control/runner.cpp
@@ -21,25 +21,25 @@
           later.push - earlier.push};
 }
 
-std::unique_ptr<DistributionSystem> makeSystem(Way way, const MeshShape& shape,
+std::unique_ptr<DistributionSystem> makeSystem(SystemKind way, const MeshShape& shape,
                                                simulation::VirtualTime& time,
                                                simulation::PlatformModel& platform,
                                                Recorder& recorder, std::uint64_t seed) {
   switch (way) {
-    case Way::kCoursepond:
+    case SystemKind::kCoursepond:
       return std::make_unique<CoursepondSystem>(shape, time, platform, recorder, seed);
-    case Way::kPolling:
+    case SystemKind::kPolling:
       return std::make_unique<PollingSystem>(shape, time, platform, recorder, seed);
-    case Way::kPushing:
+    case SystemKind::kPushing:
       return std::make_unique<PushingSystem>(shape, time, platform, recorder, seed);
   }
   return nullptr;
 }
 
-/// Takes one mesh through the phases of the plan.
+/// Runs one mesh through the phases of the plan.
 class Work {
  public:
-  Work(Way way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed)
+  Work(SystemKind way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed)
       : shape_(shape),
         plan_(plan),
         platform_(time_, seed),
@@ -67,7 +67,7 @@
  private:
   void run(Duration duration) { time_.runUntil(time_.elapsed() + duration); }
 
-  /// What `phase` costs.
+  /// Runs `phase` and returns the bytes that were sent during it.
   template <typename Phase>
   PhaseBytes measured(Phase phase) {
     const PhaseBytes before = system_->bytes();
@@ -131,7 +131,7 @@
 
 }  // namespace
 
-Figures runWork(Way way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed) {
+Figures runWork(SystemKind way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed) {
   return Work(way, shape, plan, seed).run();
 }
 
--- a/bench/control/runner.h
+++ b/bench/control/runner.h
@@ -7,9 +7,9 @@
 
 namespace coursepond::bench {
 
-enum class Way { kCoursepond, kPolling, kPushing };
+enum class SystemKind { kCoursepond, kPolling, kPushing };
 
-/// Runs the whole work on a virtual clock: a pure function of its arguments.
-Figures runWork(Way way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed);
+/// Runs the whole workload on a virtual clock. The result depends only on the arguments.
+Figures runWork(SystemKind way, const MeshShape& shape, const WorkPlan& plan, std::uint64_t seed);
 
 }  // namespace coursepond::bench
--- a/bench/control/workload.cpp
+++ b/bench/control/workload.cpp
@@ -19,7 +19,7 @@
 
 Json routeJson(const MeshShape& shape, std::uint32_t route, Version version) {
   const std::string& service = shape.services[route % shape.services.size()];
-  // Version 1 + n changed route n, n - routes and so on, one of them in each version.
+  // Each version changes one route, in turn: version 1 + n changes route n modulo the route count.
   const std::uint64_t changes = (version.value() + shape.routes - 1 - route) / shape.routes;
   Json json = {{"name", service + "-route-" + padded(route)},
                {"host", service + ".example.org"},
@@ -82,7 +82,7 @@
   }
   for (std::uint32_t secret = 0; secret < kSecrets; ++secret) {
     const std::string name = "secret-" + std::to_string(secret);
-    const std::string value = Digest::of(name).toHex();  // as random as a real one
+    const std::string value = Digest::of(name).toHex();  // incompressible, like a real secret
     json["secrets"].push_back({{"name", name}, {"value", value}});
   }
   return json.dump();
--- a/tests/bench_control/bench_control_test.cpp
+++ b/tests/bench_control/bench_control_test.cpp
@@ -1,4 +1,4 @@
-// A small run of the control bench: its aims hold, and it repeats itself.
+// Small runs of the control bench: coursepond meets its targets, and equal runs give equal results.
 
 #include <doctest/doctest.h>
 
@@ -7,8 +7,8 @@
 namespace coursepond::bench {
 namespace {
 
-constexpr double kBytesPerChangeAim = 2000;
-constexpr double kIdleBytesAim = 2000;
+constexpr double kMaxBytesPerChange = 2000;
+constexpr double kMaxIdleBytesPerSecond = 2000;
 
 WorkPlan shortPlan() {
   WorkPlan plan;
@@ -28,27 +28,27 @@
 
 }  // namespace
 
-TEST_CASE("coursepond meets the aims of the control path at a small size") {
-  const Figures figures = runWork(Way::kCoursepond, freight(12), shortPlan(), 3);
+TEST_CASE("coursepond meets the targets of the control path in a small mesh") {
+  const Figures figures = runWork(SystemKind::kCoursepond, freight(12), shortPlan(), 3);
   checkComplete(figures);
   CHECK(figures.convergence.percentile(0.99) < 1000);
-  CHECK(figures.perChangeAndNode() < kBytesPerChangeAim);
-  CHECK(figures.idlePerNodeSecond() < kIdleBytesAim);
+  CHECK(figures.perChangeAndNode() < kMaxBytesPerChange);
+  CHECK(figures.idlePerNodeSecond() < kMaxIdleBytesPerSecond);
   CHECK(figures.source_reads < 6);
 }
 
-TEST_CASE("both baselines do the whole work") {
-  checkComplete(runWork(Way::kPolling, freight(12), shortPlan(), 3));
-  checkComplete(runWork(Way::kPushing, freight(12), shortPlan(), 3));
+TEST_CASE("both baselines distribute every change in time") {
+  checkComplete(runWork(SystemKind::kPolling, freight(12), shortPlan(), 3));
+  checkComplete(runWork(SystemKind::kPushing, freight(12), shortPlan(), 3));
 }
 
-TEST_CASE("a run follows from its seed") {
-  const Figures first = runWork(Way::kCoursepond, freight(6), shortPlan(), 9);
-  const Figures second = runWork(Way::kCoursepond, freight(6), shortPlan(), 9);
+TEST_CASE("two runs with the same seed give the same results") {
+  const Figures first = runWork(SystemKind::kCoursepond, freight(6), shortPlan(), 9);
+  const Figures second = runWork(SystemKind::kCoursepond, freight(6), shortPlan(), 9);
   CHECK(tableRow(first) == tableRow(second));
 }
 
-TEST_CASE("percentiles are of the sorted delays") {
+TEST_CASE("percentiles are computed from the sorted delays") {
   Delays delays;
   for (const int milliseconds : {30, 10, 20}) delays.add(std::chrono::milliseconds(milliseconds));
   CHECK(delays.percentile(0) == 10);
