--- a/bench/configuration/main.cpp
+++ b/bench/configuration/main.cpp
@@ -1,6 +1,6 @@
-// What a new version of the configuration costs a node, step by step and without any I/O: the
-// closure check, the snapshot, the routing table, what is held for others, deltas between nodes and
-// the whole state. See docs/MEASUREMENTS.md.
+// Measures what a new configuration version costs a node, for each step and without I/O: the
+// closure check, the snapshot, the routing table, the state kept for other nodes, deltas between
+// nodes and the complete state. See docs/MEASUREMENTS.md.
 
 #include <benchmark/benchmark.h>
 
@@ -20,7 +20,7 @@
 namespace {
 
 constexpr int kRoutesPerService = 8;
-/// Routes that one version of a storm adds.
+/// Number of routes that each version adds in a burst of changes.
 constexpr int kAddedRoutes = 1400;
 
 std::string serviceOf(int route) { return "service-" + std::to_string(route / kRoutesPerService); }
@@ -52,7 +52,8 @@
   return configuration;
 }
 
-/// The next version: with the first route changed, or with more routes.
+/// Returns the next version, with `added` more routes or, if `added` is zero, the first route
+/// changed.
 model::Configuration makeNext(const model::Configuration& base, int added) {
   const int routes = static_cast<int>(base.routes.size());
   model::Configuration next = makeConfiguration(base.version.value() + 1, routes + added);
@@ -60,7 +61,7 @@
   return next;
 }
 
-/// For steps that cannot fail on what is made here.
+/// Returns the value; exits on an error, which cannot occur with the inputs of this benchmark.
 template <typename Value>
 Value require(Result<Value> result) {
   if (result) return std::move(*result);
@@ -72,7 +73,7 @@
   return require(model::buildSnapshot(configuration, {}, ZoneId("a"), Digest()));
 }
 
-/// The configuration of as many routes as the benchmark's first argument says.
+/// Returns a configuration whose number of routes is the benchmark's first argument.
 model::Configuration configurationOf(const benchmark::State& state) {
   return makeConfiguration(1, static_cast<int>(state.range(0)));
 }
@@ -118,7 +119,8 @@
   }
 }
 
-/// A delta from one version to the next, which has `range(1)` more routes; zero: one has changed.
+/// Two successive versions: the target has `range(1)` more routes or, if that is zero, one changed
+/// route.
 struct Step {
   explicit Step(const benchmark::State& state)
       : base(configurationOf(state)), target(makeNext(base, static_cast<int>(state.range(1)))) {}
--- a/bench/proxy/bench_node.cpp
+++ b/bench/proxy/bench_node.cpp
@@ -3,7 +3,8 @@
 namespace coursepond::bench {
 namespace {
 
-/// Far above what the runs need, so that admission never queues: this measures the I/O path.
+/// Far above what the runs need, so that admission never queues requests: the bench measures the
+/// I/O path.
 constexpr std::uint32_t kSlots = 1000;
 
 std::shared_ptr<model::Snapshot> makeSnapshot() {
--- a/bench/proxy/bench_node.h
+++ b/bench/proxy/bench_node.h
@@ -9,7 +9,7 @@
 
 namespace coursepond::bench {
 
-/// The data path of one node on a thread of its own, with one route to one service.
+/// The data path of one node, with one route to one service, on its own thread.
 class BenchNode {
  public:
   explicit BenchNode(const Address& backend);
@@ -17,9 +17,9 @@
 
   Address address() const { return address_; }
   double cpuSeconds() { return thread_.cpuSeconds(); }
-  /// Puts an endpoint set with the next generation in force, as churn would.
+  /// Replaces the endpoint set by one with the next generation, to simulate churn.
   void replaceEndpoints(const Address& backend, const std::string& endpoint_id);
-  /// Counters as text, for a run that failed.
+  /// Returns the counters as text, to diagnose failed runs.
   std::string counters();
 
  private:
--- a/bench/proxy/event_thread.h
+++ b/bench/proxy/event_thread.h
@@ -7,17 +7,17 @@
 
 namespace coursepond::bench {
 
-/// An io_context with a thread of its own, whose CPU time can be read.
+/// An io_context that runs on its own thread and reports the CPU time of that thread.
 class EventThread {
  public:
-  /// `name` (up to 15 characters) is what profilers show.
+  /// `name` (up to 15 characters) is the thread name that profilers show.
   explicit EventThread(const char* name);
   ~EventThread();
 
   boost::asio::io_context& context() { return context_; }
   /// Runs `task` on the thread and waits for it.
   void run(const std::function<void()>& task);
-  /// Seconds of CPU that the thread has used.
+  /// CPU time used by the thread, in seconds.
   double cpuSeconds();
 
  private:
--- a/bench/proxy/light_backend.h
+++ b/bench/proxy/light_backend.h
@@ -8,8 +8,8 @@
 
 namespace coursepond::bench {
 
-/// A server that answers every request head with the same bytes, as cheaply as can be. Takes no
-/// request bodies.
+/// A minimal server that answers every request head with the same bytes at the lowest possible
+/// cost. Does not support request bodies.
 class LightBackend {
  public:
   LightBackend(boost::asio::io_context& context, std::size_t body_bytes);
--- a/bench/proxy/load_connection.h
+++ b/bench/proxy/load_connection.h
@@ -10,11 +10,11 @@
 
 namespace coursepond::bench {
 
-/// A kept connection that sends the same request over and over and reads whole answers.
+/// A keep-alive connection that repeatedly sends the same request and reads complete answers.
 class LoadConnection {
  public:
-  /// Connects at once. `on_answer` gets true for a whole 200 answer, false when the connection
-  /// was lost or the status was another.
+  /// Connects immediately. `on_answer` gets true for a complete answer with status 200, and false
+  /// if the connection was lost or the answer had another status.
   LoadConnection(boost::asio::io_context& context, const Address& address, std::size_t body_bytes,
                  std::function<void(bool)> on_answer);
 
--- a/bench/proxy/main.cpp
+++ b/bench/proxy/main.cpp
@@ -1,5 +1,6 @@
-/// Measures the data path of one node on loopback: added latency, one core's throughput, CPU per
-/// request, memory under churn. Node, back end and load run on three threads of this process.
+/// Measures the data path of one node over loopback: added latency, throughput on one core, CPU
+/// time per request and memory under churn. Node, back end and load generator run on three threads
+/// of this process.
 
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -12,8 +13,8 @@
 using namespace coursepond;
 using namespace coursepond::bench;
 
-constexpr double kAimAddedMicroseconds = 480;
-constexpr double kAimRequestsPerSecond = 20000;
+constexpr double kTargetAddedMicroseconds = 480;
+constexpr double kTargetRequestsPerSecond = 20000;
 
 void printLatency(BenchNode& node, const Address& backend, const LatencyRunSettings& settings) {
   const LatencyRun run = measureLatency(node, backend, settings);
@@ -29,7 +30,7 @@
   const double added = run.through_node.quantile(0.99) - run.direct.quantile(0.99);
   std::printf("  node CPU %.1f us per request; aim p99 added < %.0f us: %s\n",
               run.node_cpu_seconds * 1e6 / static_cast<double>(run.through_node.size()),
-              kAimAddedMicroseconds, added < kAimAddedMicroseconds ? "met" : "NOT met");
+              kTargetAddedMicroseconds, added < kTargetAddedMicroseconds ? "met" : "NOT met");
 }
 
 void printThroughput(BenchNode& node, double seconds, std::size_t connections,
@@ -41,8 +42,8 @@
       "CPU %.1f us per request; aim > %.0f: %s\n",
       connections, rate, static_cast<unsigned long long>(run.failures),
       100 * run.node_cpu_seconds / run.seconds,
-      run.node_cpu_seconds * 1e6 / static_cast<double>(run.answers), kAimRequestsPerSecond,
-      rate > kAimRequestsPerSecond ? "met" : "NOT met");
+      run.node_cpu_seconds * 1e6 / static_cast<double>(run.answers), kTargetRequestsPerSecond,
+      rate > kTargetRequestsPerSecond ? "met" : "NOT met");
 }
 
 void printChurn(BenchNode& node, const Address& backend, std::uint64_t rounds,
--- a/bench/proxy/runs.cpp
+++ b/bench/proxy/runs.cpp
@@ -24,7 +24,7 @@
   return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double>(value));
 }
 
-/// Sends requests at planned times over kept connections to one address.
+/// Sends requests at planned times over keep-alive connections to one address.
 class OpenLoop {
  public:
   OpenLoop(boost::asio::io_context& context, const Address& address,
@@ -73,7 +73,7 @@
   std::deque<Clock::time_point> waiting_;
 };
 
-/// One window of planned requests, then waits until all are answered.
+/// Sends the planned requests of one window and waits until all are answered.
 void runWindow(boost::asio::io_context& context, OpenLoop& loop,
                const LatencyRunSettings& settings) {
   const Clock::time_point start = Clock::now();
@@ -94,7 +94,8 @@
   return resident * static_cast<std::uint64_t>(sysconf(_SC_PAGESIZE));
 }
 
-/// One caller of the churn run: a few requests, then it leaves, every third one in the middle.
+/// Runs one caller of the churn run: it sends a few requests and disconnects. Every third caller
+/// disconnects during a request.
 std::uint64_t runChurnCaller(boost::asio::io_context& context, const Address& node,
                              std::size_t body_bytes, std::uint64_t number) {
   constexpr std::uint64_t kRequestsPerCaller = 5;
--- a/bench/proxy/statistics.h
+++ b/bench/proxy/statistics.h
@@ -9,7 +9,7 @@
  public:
   void add(double microseconds) { samples_.push_back(microseconds); }
   std::size_t size() const { return samples_.size(); }
-  /// The value that `part` (0..1) of the samples do not exceed; 0 without samples.
+  /// Returns the quantile for `part` (from 0 to 1); 0 if there are no samples.
   double quantile(double part) const;
 
  private:
--- a/bench/proxy_decisions/main.cpp
+++ b/bench/proxy_decisions/main.cpp
@@ -1,5 +1,5 @@
-// What the decisions of the data path cost per request, without any I/O: routing, admission,
-// choosing a server, the deadline, and taking in the answer. See docs/MEASUREMENTS.md.
+// Measures the CPU cost per request of the data path's decisions, without I/O: routing, admission,
+// server selection, the deadline and processing of the answer. See docs/MEASUREMENTS.md.
 
 #include <benchmark/benchmark.h>
 
@@ -15,7 +15,7 @@
 namespace coursepond::proxy {
 namespace {
 
-/// The real clock, and timers that never fire: no request here comes near its deadline.
+/// Uses the real clock. Timers never fire, because no request here gets near its deadline.
 class BenchmarkEnvironment final : public Environment {
  public:
   TimePoint now() const override { return BootClock::now(); }
@@ -28,7 +28,7 @@
   std::mt19937_64 engine_{1};
 };
 
-/// Does nothing but keep what the flow asked for from being optimized away.
+/// Performs no I/O; only keeps the compiler from optimizing the decisions away.
 class BenchmarkIo final : public RequestIo {
  public:
   void startAttempt(const AttemptPlan& plan) override {
@@ -119,7 +119,7 @@
   return head;
 }
 
-/// A request served by its first server while `range(2)` others are in flight.
+/// Measures a request that its first server answers while `range(2)` others are in flight.
 void servedRequest(benchmark::State& benchmark_state) {
   Node node(static_cast<int>(benchmark_state.range(0)), static_cast<int>(benchmark_state.range(1)),
             1000);
@@ -142,7 +142,7 @@
     ->Args({10, 4, 200})
     ->Args({1000, 100, 200});
 
-/// All slots taken: each request waits in the queue until the oldest one ends.
+/// Measures requests with all slots in use: each waits in the queue until the oldest one ends.
 void queuedRequest(benchmark::State& benchmark_state) {
   Node node(10, static_cast<int>(benchmark_state.range(0)), 10);
   std::deque<std::unique_ptr<InFlight>> in_flight;
@@ -162,7 +162,7 @@
 }
 BENCHMARK(queuedRequest)->ArgName("servers")->Arg(4)->Arg(100);
 
-/// The queue is full: what a refusal costs in overload.
+/// Measures the cost of a refusal in overload, when the queue is full.
 void refusedRequest(benchmark::State& benchmark_state) {
   Node node(10, 4, 10);
   constexpr int kEnoughToFillTheQueue = 400;
@@ -174,7 +174,7 @@
 }
 BENCHMARK(refusedRequest);
 
-/// The first server refuses, the second serves.
+/// Measures a request that the first server refuses and the second one answers.
 void retriedRequest(benchmark::State& benchmark_state) {
   Node node(10, 8, 1000);
   std::uint64_t retried = 0;
