--- a/tests/platform/soak/client.cpp
+++ b/tests/platform/soak/client.cpp
@@ -114,46 +114,47 @@
   }
 
  private:
-  /// Runs `step` after `delay` unless the client was destroyed by then.  TimerId schedule(Duration
-  /// delay, void (Implementation::*step)()) {
-  return environment_.schedule(delay, [self = weak_from_this(), step] {
-    const auto alive = self.lock();
-    if (alive && !alive->is_gone_) ((*alive).*step)();
-  });
-} void scheduleSend(Duration delay) {
-  environment_.cancel(timer_);
-  timer_ = schedule(delay, &Client::Implementation::sendNext);
-}
-Duration randomPause() {
-  std::uniform_real_distribution<double> part(0.3, 1.7);
-  return Duration(
-      static_cast<Duration::rep>(static_cast<double>(settings_.pause.count()) * part(random_)));
-}
+  /// Runs `step` after `delay` unless the client was destroyed by then.
+  TimerId runLater(Duration delay, void (Implementation::*step)()) {
+    return environment_.schedule(delay, [self = weak_from_this(), step] {
+      const auto alive = self.lock();
+      if (alive && !alive->is_gone_) ((*alive).*step)();
+    });
+  }
+  void scheduleSend(Duration delay) {
+    environment_.cancel(timer_);
+    timer_ = runLater(delay, &Client::Implementation::sendNext);
+  }
+  Duration randomPause() {
+    std::uniform_real_distribution<double> part(0.3, 1.7);
+    return Duration(
+        static_cast<Duration::rep>(static_cast<double>(settings_.pause.count()) * part(random_)));
+  }
 
-void sendNext();
-void connect();
-void onConnected(const ConnectionPointer& connection, const error_code& status);
-void send(const RequestPlan& plan);
-void scheduleTimeout(Request& request);
-void readNext(const ConnectionPointer& connection);
-void onRead(const ConnectionPointer& connection, const error_code& status);
-void onAnswer(const ConnectionPointer& connection);
-void onLost(const ConnectionPointer& connection);
-void end(Request& request, RequestEnd how);
-void giveUp(const std::string& id, bool is_on_purpose);
-void closeNow();
-
-asio::io_context& context_;
-Environment& environment_;
-Ledger& ledger_;
-ClientSettings settings_;
-ClientHooks hooks_;
-RandomEngine random_;
-ConnectionPointer connection_;
-TimerId timer_ = 0;
-std::uint64_t sent_ = 0;
-bool is_finished_ = false;
-bool is_gone_ = false;
+  void sendNext();
+  void connect();
+  void onConnected(const ConnectionPointer& connection, const error_code& status);
+  void send(const RequestPlan& plan);
+  void scheduleTimeout(Request& request);
+  void readNext(const ConnectionPointer& connection);
+  void onRead(const ConnectionPointer& connection, const error_code& status);
+  void onAnswer(const ConnectionPointer& connection);
+  void onLost(const ConnectionPointer& connection);
+  void end(Request& request, RequestEnd how);
+  void giveUp(const std::string& id, bool is_on_purpose);
+  void closeNow();
+
+  asio::io_context& context_;
+  Environment& environment_;
+  Ledger& ledger_;
+  ClientSettings settings_;
+  ClientHooks hooks_;
+  RandomEngine random_;
+  ConnectionPointer connection_;
+  TimerId timer_ = 0;
+  std::uint64_t sent_ = 0;
+  bool is_finished_ = false;
+  bool is_gone_ = false;
 };
 
 void Client::Implementation::sendNext() {
