--- a/bench/data_path/main.cpp
+++ b/bench/data_path/main.cpp
@@ -39,12 +39,13 @@
   std::printf("\n**%s**, %s, seed %llu\n\n", scenario.name.c_str(), policy.name.c_str(),
               static_cast<unsigned long long>(seed));
   std::printf(
-      "earned %.4f, refused %.4f, late %.4f; answers \"not run\" %.0f, between hops %.0f; from "
+      "earned utility %.4f, refused %.4f, late %.4f; answers \"not run\" %.0f, between hops %.0f; "
+      "from "
       "another zone %.3f of the answers; calls failed %.0f; busiest server over the mean %.2f\n\n",
       outcome.earnedFraction(), outcome.refusedFraction(), outcome.lateFraction(), outcome.refusals,
       outcome.hop_refusals, outcome.remote_answers / std::max(outcome.sent(), 1.0),
       outcome.calls_failed, outcome.busiest);
-  std::printf("| kind | asked | in time | late | refused | failed |\n|---|---|---|---|---|---|\n");
+  std::printf("| kind | sent | in time | late | refused | failed |\n|---|---|---|---|---|---|\n");
   for (const KindOutcome& kind : outcome.kinds) {
     if (kind.sent == 0) continue;
     std::printf("| %s | %.0f | %.3f | %.3f | %.3f | %.3f |\n", kind.name.c_str(), kind.sent,
