--- a/src/node/server_health.cpp
+++ b/src/node/server_health.cpp
@@ -28,7 +28,7 @@
   if (!instance || instance->empty()) return std::nullopt;
   ingress::ServerHealth health;
   health.instance = *instance;
-  if (const auto cold = runtime::findHeader(response.headers, names.cold_remaining)) {
+  if (const auto cold = runtime::findHeader(response.headers, names.cold_left)) {
     const std::optional<Duration> left = parseMilliseconds(*cold);
     if (!left) return std::nullopt;
     health.cold_left = *left;
--- a/src/runtime/header_names.h
+++ b/src/runtime/header_names.h
@@ -29,7 +29,7 @@
   std::string instance = http_headers::kInstance;
   /// In a server's answer to a health probe: number of milliseconds until it is warm. Absent: it is
   /// warm.
-  std::string cold_remaining = http_headers::kColdLeftMs;
+  std::string cold_left = http_headers::kColdLeftMs;
 };
 
 }  // namespace coursepond::runtime
--- a/src/runtime/settings_keys.cpp
+++ b/src/runtime/settings_keys.cpp
@@ -506,7 +506,7 @@
   add("instance", "In a server's answer: its instance.", FIELD(headers.instance));
   add("cold_left",
       "In a server's answer to a health probe: number of milliseconds until it is warm.",
-      FIELD(headers.cold_remaining));
+      FIELD(headers.cold_left));
 }
 
 void addAdminKeys(Keys& keys) {
