--- a/tests/runtime/http_client_timeout_test.cpp
+++ b/tests/runtime/http_client_timeout_test.cpp
@@ -96,7 +96,7 @@
   CHECK(answer.error().message.find(" of 150000 bytes received") != std::string::npos);
 }
 
-TEST_CASE("an answer that makes progress but does not end is abandoned after longest_answer") {
+TEST_CASE("an answer that makes progress but does not end is abandoned after answer_timeout") {
   HttpClientLimits limits;
   limits.answer_timeout = 300ms;
   SlowAnswer bench(limits);
